--- a/tansyspur/__main__.py
+++ b/tansyspur/__main__.py
@@ -15,12 +15,12 @@
 from typing import TYPE_CHECKING, Any
 
 from tansyspur import config as configuration
-from tansyspur import interface as face
+from tansyspur import interface
 from tansyspur.core.gatekeeper import Gatekeeper
 from tansyspur.core.ports import Switch
 from tansyspur.iax2.auth import Registrar, Registration
 from tansyspur.iax2.back import Iax2Switch
-from tansyspur.iax2.front import Iax2Front, turn_away
+from tansyspur.iax2.front import Iax2Front, reject_new_leg
 from tansyspur.iax2.media import Bridge
 from tansyspur.iax2.transport import Endpoint
 from tansyspur.net import handover
@@ -28,7 +28,7 @@
 from tansyspur.net.console import Console
 from tansyspur.net.handover import Handover, Partner
 from tansyspur.net.jsonlines import JsonLinesFront
-from tansyspur.net.peers import Peers, split
+from tansyspur.net.peers import Peers, parse_address
 from tansyspur.net.sip import SipSwitch
 from tansyspur.syslog import Syslog
 
@@ -65,26 +65,30 @@
         self.console = Console(self.gatekeeper, log)
         self.peers = Peers(list(config.peers), config.peers_all, self.gatekeeper.peer_message, log)
         self.channel = Channel(
-            config.channel, self.gatekeeper.list_changed, self.gatekeeper.spawn, log, self.gatekeeper.figures
+            config.channel, self.gatekeeper.list_changed, self.gatekeeper.spawn, log, self.gatekeeper.metrics
         )
         # Of the process before this one, as long as it lives, and for the one after it.
-        path = handover.place(config.name)
-        asked = handover.ask(path, log) if path else None
+        path = handover.socket_path(config.name)
+        asked = handover.request_sockets(path, log) if path else None
         self.sockets, self.line = asked or ({}, None)
         self.predecessor: Partner | None = None
         self.handover = path and Handover(
             path, self.sockets, self.from_successor, self.successor_changed, self.gatekeeper.spawn, log
         )
         if "callers" not in self.sockets:
-            self.sockets["callers"] = handover.listener(*config.listen)
+            self.sockets["callers"] = handover.bind_socket(*config.listen)
         if config.peer_listen and config.settings.may_message:
             if "peers" not in self.sockets:
-                self.sockets["peers"] = handover.listener(*split(config.peer_listen), socket.SOCK_DGRAM)
+                self.sockets["peers"] = handover.bind_socket(
+                    *parse_address(config.peer_listen), socket.SOCK_DGRAM
+                )
             self.gatekeeper.messenger = self.peers
         self.front = JsonLinesFront(self.gatekeeper, log, self.most_links(), self.sockets["callers"])
         self.iax2_front = self.make_iax2_front(config.iax2) if config.iax2 else None
 
-    def make_switch(self, name: str, address: str, on_report: Callable[[face.Report], None]) -> Switch:
+    def make_switch(
+        self, name: str, address: str, on_report: Callable[[interface.LoadReport], None]
+    ) -> Switch:
         iax2 = self.config.iax2
         by_iax2 = iax2.switches.get(name) if iax2 else None
         if iax2 and by_iax2:
@@ -102,9 +106,9 @@
                 self.log,
             )
         self.sip = [one for one in self.sip if not one.retired]
-        figures, dial_timeout_s = self.gatekeeper.figures, self.config.dial_timeout_s
+        metrics, dial_timeout_s = self.gatekeeper.metrics, self.config.dial_timeout_s
         steady_since = self.discovery_steady_since
-        self.sip.append(SipSwitch(name, address, on_report, self.log, dial_timeout_s, figures, steady_since))
+        self.sip.append(SipSwitch(name, address, on_report, self.log, dial_timeout_s, metrics, steady_since))
         return self.sip[-1]
 
     def discovery_steady_since(self) -> float | None:
@@ -112,10 +116,10 @@
 
     def open_records(self, path: str) -> "CdrFile":
         from tansyspur.cdr.export import CdrFile
-        from tansyspur.cdr.record import of_call
+        from tansyspur.cdr.record import record_from_call
 
         records, own = CdrFile(path, self.config.name, self.log), self.config.settings.own_exchange or 0
-        self.gatekeeper.recorder = lambda over: records(of_call(over, own))
+        self.gatekeeper.recorder = lambda over: records(record_from_call(over, own))
         return records
 
     def make_iax2_front(self, iax2: configuration.Iax2Config) -> Iax2Front:
@@ -126,8 +130,8 @@
             self.bridge,
             self.rng,
             self.log,
-            iax2.most_calls,
-            iax2.guests,
+            iax2.max_calls,
+            iax2.allow_guests,
         )
 
     def most_links(self) -> int:
@@ -145,7 +149,7 @@
             self.gatekeeper.spawn(self.console.open(*self.config.console), "console")
         if self.records:
             self.records.start()
-        self.channel.known(dict(self.config.known))
+        self.channel.load_known_events(dict(self.config.known_events))
         self.channel.start()
         if self.line:
             await self.take_over(self.line)
@@ -166,11 +170,11 @@
     async def until_dialled(self) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(READY_S):
-                while waited := [one for one in self.sip if not one.ever_dialled.is_set()]:
-                    await waited[0].ever_dialled.wait()
+                while waited := [one for one in self.sip if not one.first_dial_done.is_set()]:
+                    await waited[0].first_dial_done.wait()
 
     async def serve_callers(self) -> None:
-        await self.front.accept()
+        await self.front.start_accepting()
         if "peers" in self.sockets:
             await self.peers.open(self.sockets["peers"])
             self.gatekeeper.messenger = self.peers
@@ -180,10 +184,10 @@
     async def open_iax2(self, iax2: configuration.Iax2Config) -> None:
         assert self.iax2_front
         self.endpoint.on_new = self.iax2_front.on_new
-        self.endpoint.available = lambda: self.gatekeeper.admits
+        self.endpoint.is_available = lambda: self.gatekeeper.accepts_callers
         await self.endpoint.open(*iax2.listen)
         self.log("notice", "start", "listening for IAX2", address=":".join(map(str, iax2.listen)))
-        for name, refresh_s in iax2.register.items():
+        for name, refresh_s in iax2.registrations.items():
             peer = iax2.peers[name]
             Registration(self.endpoint, peer, iax2.username, refresh_s, self.log).start()
 
@@ -195,8 +199,8 @@
         predecessor = self.predecessor = Partner(reader, writer, self.from_predecessor)
         self.gatekeeper.spawn(predecessor.run(), "predecessor")
         self.gatekeeper.spawn(self.until_alone(predecessor), "until alone")
-        self.front.limit(self.most_links())
-        self.front.elsewhere = predecessor.tell
+        self.front.set_connection_limit(self.most_links())
+        self.front.send_to_other_process = predecessor.send
         self.log("notice", "handover", "taking over", sockets=",".join(self.sockets))
         waits = [
             self.gatekeeper.spawn(self.as_informed(), "informed"),
@@ -207,13 +211,13 @@
             wait.cancel()
         if not self.stop.is_set():
             await self.serve_callers()
-            predecessor.tell("serving")
+            predecessor.send("serving")
             self.started()
 
     async def as_informed(self) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CURRENT_S):
-                await self.channel.current.wait()
+                await self.channel.caught_up.wait()
         await self.until_dialled()
         await self.gatekeeper.not_paused.wait()  # a process that sends callers away takes none over
 
@@ -227,8 +231,8 @@
 
     async def until_alone(self, predecessor: Partner) -> None:
         await predecessor.gone.wait()
-        self.predecessor = self.front.elsewhere = None
-        self.front.limit(self.most_links())
+        self.predecessor = self.front.send_to_other_process = None
+        self.front.set_connection_limit(self.most_links())
         self.log("notice", "handover", "the predecessor has gone")
         if self.config.iax2:
             # A call's frames come to its own process only, so the predecessor had the address to its end.
@@ -236,7 +240,7 @@
 
     def from_predecessor(self, row: dict[str, Any]) -> None:
         if row["type"] == "release":
-            self.front.release_elsewhere(row)
+            self.front.release_for_other_process(row)
 
     def from_successor(self, successor: Partner, row: dict[str, Any]) -> None:
         """It serves: nothing new comes here, and what finds no connection here may find one there."""
@@ -245,16 +249,16 @@
             self.front.stop_accepting()
             self.peers.close()
             self.gatekeeper.messenger = None
-            self.front.elsewhere, self.front.hands_over = successor.tell, True
-            self.front.pass_owed()
+            self.front.send_to_other_process, self.front.handed_over = successor.send, True
+            self.front.forward_pending_releases()
         elif row["type"] == "release":
-            self.front.heard_elsewhere(row)
+            self.front.release_from_other_process(row)
 
     def successor_changed(self) -> None:
-        self.front.limit(self.most_links())
-        if self.handover and not self.handover.successor and self.front.hands_over:
+        self.front.set_connection_limit(self.most_links())
+        if self.handover and not self.handover.successor and self.front.handed_over:
             # It has gone before it was needed, or we end and do so alone.
-            self.front.elsewhere, self.front.hands_over = None, False
+            self.front.send_to_other_process, self.front.handed_over = None, False
             if not self.gatekeeper.ending:
                 self.gatekeeper.spawn(self.serve_callers(), "take up again")
 
@@ -263,13 +267,13 @@
     def reload(self) -> None:
         """Take the new file whole, or keep to the old one; no call notices."""
         try:
-            fresh = configuration.load(operator=self.operator, like=self.config)
+            fresh = configuration.load(operator_path=self.operator, running=self.config)
         except configuration.ConfigError as error:
-            self.gatekeeper.figures.bad_reloads += 1
+            self.gatekeeper.metrics.rejected_reloads += 1
             return self.log("error", "reload", f"the old configuration stays: {error}")
-        kept = {key: getattr(self.config, key) for key in configuration.AT_START}
+        kept = {key: getattr(self.config, key) for key in configuration.RESTART_ONLY_KEYS}
         later = [key for key, value in kept.items() if getattr(fresh, key) != value]
-        if configuration.beside_numbers(fresh.iax2) != configuration.beside_numbers(self.config.iax2):
+        if configuration.without_numbers(fresh.iax2) != configuration.without_numbers(self.config.iax2):
             later.append("iax2")
         self.log(
             "notice",
@@ -280,14 +284,14 @@
             **({"at_next_start": ",".join(later)} if later else {}),
         )
         self.config = replace(fresh, iax2=self.config.iax2, **kept)
-        self.gatekeeper.figures.reloads += 1
+        self.gatekeeper.metrics.reloads += 1
         self.log.set_level(fresh.syslog.level)
-        self.gatekeeper.retune(fresh.settings)
+        self.gatekeeper.apply_settings(fresh.settings)
         for switch in self.sip:
             switch.dial_timeout_s = fresh.dial_timeout_s
         if self.iax2_front and fresh.iax2:
             self.iax2_front.set_numbers(fresh.iax2.numbers)
-        self.channel.move(fresh.channel)
+        self.channel.change_address(fresh.channel)
         if self.records:
             self.records.reopen()
 
@@ -297,19 +301,21 @@
         gatekeeper, stopped = self.gatekeeper, self.loop.time()
         self.log("notice", "stop", "finishing what was taken", calls=len(gatekeeper.calls))
         gatekeeper.ending = True
-        self.endpoint.available = lambda: False
+        self.endpoint.is_available = lambda: False
         successor = self.handover.successor if self.handover else None
-        longest_s = self.config.longest_deadline_s
+        longest_s = self.config.max_deadline_s
         if successor and successor.serving:
-            self.front.stop_sending_away()  # of a pause, which keeps a connection for longer
-            self.front.send_away()
-            self.endpoint.on_new = turn_away
+            self.front.stop_closing_connections()  # of a pause, which keeps a connection for longer
+            self.front.close_idle_connections()
+            self.endpoint.on_new = reject_new_leg
             until = stopped + earliest_kill_s(longest_s, LONGEST_REPLACED_S) - EXIT_MARGIN_S
             await gatekeeper.finish(until - self.loop.time(), keep_standing=True)
             # Guards against set-ups that come, and go down with us, on a connection never without one.
-            self.front.send_off()
+            self.front.close_connections()
             # What stands goes on until its end, or until we are killed.
-            over = [asyncio.ensure_future(wait) for wait in (gatekeeper.all_over(), successor.gone.wait())]
+            over = [
+                asyncio.ensure_future(wait) for wait in (gatekeeper.all_calls_ended(), successor.gone.wait())
+            ]
             await asyncio.wait(over, return_when=asyncio.FIRST_COMPLETED)
             await gatekeeper.finish(0)
         else:
@@ -317,12 +323,12 @@
             self.front.stop_accepting()
             # Guards against connections that come up in a queue which nobody serves any more.
             self.sockets["callers"].close()
-            self.endpoint.on_new = turn_away
-            self.front.send_away_for_good()
+            self.endpoint.on_new = reject_new_leg
+            self.front.close_idle_connections_until_exit()
             until = stopped + earliest_kill_s(longest_s) - EXIT_MARGIN_S
             await gatekeeper.finish(until - self.loop.time())
-        self.front.stop_sending_away()
-        self.front.send_off()
+        self.front.stop_closing_connections()
+        self.front.close_connections()
         gatekeeper.close()
         self.peers.close()
         self.console.close()
@@ -346,11 +352,11 @@
     parser.add_argument("--operator", metavar="FILE", help="the operator's TOML file, see deploy/")
     arguments = parser.parse_args()
     try:
-        config = configuration.load(operator=arguments.operator)
+        config = configuration.load(operator_path=arguments.operator)
     except configuration.ConfigError as error:
         print(f"tansyspur: {error}", file=sys.stderr)
         return 2
-    log = Syslog(config.name, config.syslog.level, config.syslog.export)
+    log = Syslog(config.name, config.syslog.level, config.syslog.udp_address)
     try:
         return asyncio.run(serve(config, log, arguments.operator))
     except OSError as error:
--- a/tansyspur/adapter.py
+++ b/tansyspur/adapter.py
@@ -10,61 +10,61 @@
 from collections.abc import Callable, Iterator
 from typing import Any, TextIO
 
-from tansyspur import interface as face
+from tansyspur import interface
 from tansyspur.policy import Controller
 from tansyspur.translate import WireError, choose, parse_report, parse_settings, take
 
 OUTCOMES = {
-    "pass": face.Outcome.ENDED,
-    "fault": face.Outcome.FAULT,
-    "no_room": face.Outcome.NO_ROOM,
-    "too_slow": face.Outcome.TIMED_OUT,
-    "no_route": face.Outcome.NO_ROUTE,
-    "cut": face.Outcome.CUT,
-    "undone": face.Outcome.CANCELLED,
-    "stale_send": face.Outcome.NOT_SENT,
+    "pass": interface.Outcome.ENDED,
+    "fault": interface.Outcome.FAULT,
+    "no_room": interface.Outcome.NO_ROOM,
+    "too_slow": interface.Outcome.TIMED_OUT,
+    "no_route": interface.Outcome.NO_ROUTE,
+    "cut": interface.Outcome.CUT,
+    "undone": interface.Outcome.CANCELLED,
+    "stale_send": interface.Outcome.NOT_SENT,
 }
 CAUSES = {
-    1: face.Cause.NO_CIRCUIT,
-    2: face.Cause.TURNED_BACK,
-    3: face.Cause.PROCESSOR_FULL,
-    4: face.Cause.NUMBER_BUSY,
-    18: face.Cause.FAR_PROCESSOR_FULL,
+    1: interface.Cause.NO_CIRCUIT,
+    2: interface.Cause.TURNED_BACK,
+    3: interface.Cause.PROCESSOR_FULL,
+    4: interface.Cause.NUMBER_BUSY,
+    18: interface.Cause.FAR_PROCESSOR_FULL,
 }
 STATES = {
-    "in_service": face.ExchangeState.IN_SERVICE,
-    "terminating": face.ExchangeState.DRAINING,
-    "terminated": face.ExchangeState.GONE,
+    "in_service": interface.SwitchState.IN_SERVICE,
+    "terminating": interface.SwitchState.DRAINING,
+    "terminated": interface.SwitchState.GONE,
 }
 LIST_KINDS = {
-    "patch": face.ListKind.CHANGES,
-    "whole": face.ListKind.WHOLE,
-    "stale_copy": face.ListKind.STALE_COPY,
-    "broken": face.ListKind.FAILED,
+    "patch": interface.SwitchListKind.CHANGES,
+    "whole": interface.SwitchListKind.COMPLETE,
+    "stale_copy": interface.SwitchListKind.STALE_COPY,
+    "broken": interface.SwitchListKind.FAILED,
 }
 
 
-def parse_exchange(row: Any) -> face.Exchange:
+def parse_exchange(row: Any) -> interface.CarrierSwitch:
     if not isinstance(row, dict):
         raise WireError("a row of the list is not an object")
-    return face.Exchange(
-        exchange_id=take(row, "exchange"),
-        number=take(row, "cell"),
+    return interface.CarrierSwitch(
+        switch_id=take(row, "exchange"),
+        exchange_number=take(row, "cell"),
         state=choose(STATES, row, "stage-state"),
         zone=row.get("az") or "",
         started_ns=row.get("launched-ns") or None,
     )
 
 
-def parse_call(row: dict[str, Any]) -> face.CallOffered:
+def parse_call(row: dict[str, Any]) -> interface.CallOffered:
     via = row.get("via")
-    return face.CallOffered(
+    return interface.CallOffered(
         call_id=take(row, "request-id"),
         class_name=take(row, "type", str),
         expires_ns=take(row, "expires-ns"),
         destination=take(row, "terminates-at"),
         circuits=take(row, "width", (int, float)),
-        number=row.get("object") or "",
+        called_number=row.get("object") or "",
         via=via if isinstance(via, int) and via >= 0 else None,
         in_transit=bool(row.get("midflow")),
         redial=bool(row.get("resent")),
@@ -72,79 +72,79 @@
     )
 
 
-def parse_attempt_ended(row: dict[str, Any]) -> face.AttemptEnded:
+def parse_attempt_ended(row: dict[str, Any]) -> interface.AttemptEnded:
     code = row.get("cause") or 0
-    cause = CAUSES.get(code) or (face.Cause.PROCESSOR_FULL if code % 16 == 3 else None)
-    return face.AttemptEnded(
+    cause = CAUSES.get(code) or (interface.Cause.PROCESSOR_FULL if code % 16 == 3 else None)
+    return interface.AttemptEnded(
         call_id=take(row, "request-id"),
         attempt=take(row, "hop"),
-        exchange_id=take(row, "exchange"),
+        switch_id=take(row, "exchange"),
         outcome=choose(OUTCOMES, row, "status"),
         elapsed_ns=row.get("duration-ns") or 0,
         final=take(row, "terminal", bool),
         cause=cause,
-        wait_ms=code // 16 if cause is face.Cause.PROCESSOR_FULL else 0,
+        processor_wait_ms=code // 16 if cause is interface.Cause.PROCESSOR_FULL else 0,
         report=parse_report(row.get("pressure")),
     )
 
 
-def parse_stands(row: dict[str, Any]) -> face.CallStands:
-    return face.CallStands(
+def parse_stands(row: dict[str, Any]) -> interface.CallAnswered:
+    return interface.CallAnswered(
         call_id=take(row, "request-id"),
         attempt=take(row, "hop"),
-        exchange_id=take(row, "exchange"),
+        switch_id=take(row, "exchange"),
         elapsed_ns=row.get("duration-ns") or 0,
     )
 
 
-def parse_group_report(row: dict[str, Any]) -> face.GroupReport:
-    return face.GroupReport(
-        exchange_id=take(row, "exchange"),
+def parse_group_report(row: dict[str, Any]) -> interface.GroupReport:
+    return interface.GroupReport(
+        switch_id=take(row, "exchange"),
         outcome=choose(OUTCOMES, row, "status"),
         elapsed_ns=row.get("duration-ns") or 0,
         report=parse_report(row.get("pressure")),
     )
 
 
-def parse_message(row: dict[str, Any]) -> face.PeerMessage:
+def parse_message(row: dict[str, Any]) -> interface.PeerMessage:
     try:
         data = base64.b64decode(take(row, "raw", str), validate=True)
     except binascii.Error as error:
         raise WireError("field 'raw' is not base64") from error
-    return face.PeerMessage(sender=take(row, "src-peer"), data=data)
+    return interface.PeerMessage(sender=take(row, "src-peer"), data=data)
 
 
-PARSERS: dict[str, Callable[[dict[str, Any]], face.Event]] = {
+PARSERS: dict[str, Callable[[dict[str, Any]], interface.Event]] = {
     "WORK_ITEM": parse_call,
     "COMPLETED": parse_attempt_ended,
     "STARTED": parse_stands,
     "STATUS_BACK": parse_group_report,
     "INBOX": parse_message,
-    "DEADLINE_HIT": lambda row: face.TimerDue(take(row, "ctx")),
-    "VANISHED": lambda row: face.CallGone(take(row, "request-id")),
+    "DEADLINE_HIT": lambda row: interface.TimerDue(take(row, "ctx")),
+    "VANISHED": lambda row: interface.CallAbandoned(take(row, "request-id")),
 }
 
 
-def format_action(instance: int, action: face.Action) -> dict[str, Any]:
+def format_action(instance: int, action: interface.Action) -> dict[str, Any]:
     """The wire's line for an action."""
     match action:
-        case face.SetUp(call_id, exchange_id, time_out_ns):
-            row = {"cmd": "RELAY", "request-id": call_id, "exchange": exchange_id, "cap-ns": time_out_ns}
-        case face.Refuse(call_id, retry_in_ns):
-            row = {"cmd": "PUSH_BACK", "request-id": call_id, "retry-in-ns": retry_in_ns}
-        case face.Fail(call_id):
+        case interface.SetUp(call_id, switch_id, timeout_ns):
+            row = {"cmd": "RELAY", "request-id": call_id, "exchange": switch_id, "cap-ns": timeout_ns}
+        case interface.Refuse(call_id, retry_after_ns):
+            row = {"cmd": "PUSH_BACK", "request-id": call_id, "retry-in-ns": retry_after_ns}
+        case interface.Fail(call_id):
             row = {"cmd": "ABORT", "request-id": call_id}
-        case face.Recall(call_id, attempt):
+        case interface.CancelAttempt(call_id, attempt):
             row = {"cmd": "RECALL", "request-id": call_id, "hop": attempt}
-        case face.SetTimer(token, at_ns):
+        case interface.SetTimer(token, at_ns):
             row = {"cmd": "TIMER", "ctx": token, "alarm-time-ns": at_ns}
-        case face.Probe(exchange_id):
-            row = {"cmd": "ASK_LOAD", "exchange": exchange_id}
-        case face.SendMessage(peer, data):
+        case interface.Probe(switch_id):
+            row = {"cmd": "ASK_LOAD", "exchange": switch_id}
+        case interface.SendMessage(peer, data):
             row = {"cmd": "POST", "target": peer, "raw": base64.b64encode(data).decode()}
-        case face.AskList():
+        case interface.SubscribeSwitchList():
             row = {"cmd": "SUBSCRIBE", "want": True}
-        case face.Log(text):
+        case interface.Log(text):
             row = {"cmd": "LOG", "words": text}
     return {**row, "i": instance}
 
@@ -154,7 +154,7 @@
 
     def __init__(self) -> None:
         self.controllers: dict[int, Controller] = {}
-        self.lists: dict[int, tuple[face.Exchange, ...]] = {}
+        self.lists: dict[int, tuple[interface.CarrierSwitch, ...]] = {}
         self.now_ns: int | None = None
         self.replies: list[str] = []
 
@@ -194,7 +194,7 @@
             del self.controllers[instance]
             return
         if command == "TOPOLOGY":
-            event: face.Event = self._exchange_list(row)
+            event: interface.Event = self._exchange_list(row)
         elif command in PARSERS:
             event = PARSERS[command](row)
         else:
@@ -202,14 +202,14 @@
         for action in self.controllers[instance].handle(self.now_ns, event):
             self.replies.append(json.dumps(format_action(instance, action), separators=(",", ":")))
 
-    def _exchange_list(self, row: dict[str, Any]) -> face.ExchangeList:
+    def _exchange_list(self, row: dict[str, Any]) -> interface.SwitchList:
         kind = choose(LIST_KINDS, row, "mode")
-        if kind is face.ListKind.FAILED:
-            return face.ExchangeList(kind)
+        if kind is interface.SwitchListKind.FAILED:
+            return interface.SwitchList(kind)
         sheet = take(row, "sheet")
         if sheet not in self.lists:
             raise WireError(f"list {sheet} was never sent")
-        return face.ExchangeList(kind, self.lists[sheet])
+        return interface.SwitchList(kind, self.lists[sheet])
 
 
 def converse(lines: Iterator[str], out: TextIO) -> None:
--- a/tansyspur/cdr/__init__.py
+++ b/tansyspur/cdr/__init__.py
@@ -1,1 +1,1 @@
-"""Call detail records: one whole line for each call, numbered, so that what is missing is known."""
+"""Call detail records: one complete line for each call, numbered, so that a missing record is noticed."""
--- a/tansyspur/cdr/export.py
+++ b/tansyspur/cdr/export.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-from tansyspur.cdr.record import CallRecord, write, write_count
+from tansyspur.cdr.record import CallRecord, format_count, format_record
 
 FLUSH_S = 0.25
 COUNT_S = 10.0
@@ -37,7 +37,7 @@
         if len(self.waiting) >= self.most_waiting:
             self.dropped += 1
             return
-        self.waiting.append(write(record, self.sequence, time.time(), self.host, self.process))
+        self.waiting.append(format_record(record, self.sequence, time.time(), self.host, self.process))
 
     async def _run(self) -> None:
         while True:
@@ -49,7 +49,7 @@
         lines, self.waiting = self.waiting, []
         if last or now - self.told_at >= COUNT_S:
             self.told_at = now
-            lines.append(write_count(self.sequence, self.dropped, time.time(), self.host, self.process))
+            lines.append(format_count(self.sequence, self.dropped, time.time(), self.host, self.process))
         if not lines:
             return
         try:
--- a/tansyspur/cdr/record.py
+++ b/tansyspur/cdr/record.py
@@ -10,8 +10,8 @@
 from datetime import UTC, datetime
 from hashlib import blake2b
 
-from tansyspur.core.ports import Over
-from tansyspur.syslog import SEVERITIES, message, printable
+from tansyspur.core.ports import CompletedCall
+from tansyspur.syslog import SEVERITIES, format_message, printable
 
 CDR, COUNT = "cdr@32473", "count@32473"  # RFC 5612: the enterprise number for documentation
 VERDICTS = ("ended", "cut", "refused", "failed", "given up")
@@ -20,7 +20,7 @@
 PARAM = re.compile(r' ([!-<>-~]{1,32})="((?:[^"\\\]]|\\.)*)"')
 
 
-class NotARecord(ValueError):
+class RecordFormatError(ValueError):
     """A line that is no RFC 5424 message, or whose call detail record is spoilt; the text says why."""
 
 
@@ -66,14 +66,14 @@
     return blake2b(number.encode("utf-8", "surrogateescape"), digest_size=6).hexdigest()
 
 
-def of_call(over: Over, origin: int) -> CallRecord:
+def record_from_call(over: CompletedCall, origin: int) -> CallRecord:
     """A call that is over, at the gatekeeper of the exchange `origin`."""
     offer, since_ns = over.offer, over.offered_ns
     return CallRecord(
         offered_ms=since_ns // 1_000_000, call=offer.wire_id, class_name=offer.class_name, origin=origin,
-        destination=offer.destination, number=digest(offer.number), verdict=over.verdict, width=offer.circuits,
-        left_ms=int(offer.left_ms), ended_ms=(over.ended_ns - since_ns) // 1_000_000,
-        stood_ms=(over.stood_ns - since_ns) // 1_000_000 if over.stood_ns else -1,
+        destination=offer.destination, number=digest(offer.called_number), verdict=over.verdict, width=offer.circuits,
+        left_ms=int(offer.remaining_ms), ended_ms=(over.ended_ns - since_ns) // 1_000_000,
+        stood_ms=(over.answered_ns - since_ns) // 1_000_000 if over.answered_ns else -1,
         attempts=over.attempts, switch=over.switch, cause=over.cause, tandem=over.tandem,
         transit=offer.in_transit, redial=offer.redial, again=offer.was_cut,
     )  # fmt: skip
@@ -83,10 +83,12 @@
     now_s: float, host: str, process: int, msgid: str, sd_id: str, params: dict[str, object], text: str
 ) -> str:
     head = f"{printable(host, 255)} tansyspur {process}"
-    return message(SEVERITIES["info"], datetime.fromtimestamp(now_s, UTC), head, msgid, sd_id, params, text)
+    return format_message(
+        SEVERITIES["info"], datetime.fromtimestamp(now_s, UTC), head, msgid, sd_id, params, text
+    )
 
 
-def write(record: CallRecord, sequence: int, now_s: float, host: str, process: int) -> str:
+def format_record(record: CallRecord, sequence: int, now_s: float, host: str, process: int) -> str:
     params: dict[str, object] = {"seq": sequence}
     for one in fields(record):
         value = getattr(record, one.name)
@@ -95,21 +97,21 @@
     return _line(now_s, host, process, "cdr", CDR, params, record.verdict)
 
 
-def write_count(written: int, dropped: int, now_s: float, host: str, process: int) -> str:
+def format_count(written: int, dropped: int, now_s: float, host: str, process: int) -> str:
     """So far in this process: written counts what has a number, dropped what has a number but no line."""
     return _line(now_s, host, process, "count", COUNT, {"written": written, "dropped": dropped}, "so far")
 
 
-def read(line: str) -> Line:
-    """Raises NotARecord where the line is no RFC 5424 message."""
+def parse_line(line: str) -> Line:
+    """Raises RecordFormatError where the line is no RFC 5424 message."""
     found = HEAD.match(line.rstrip("\r\n"))
     if not found:
-        raise NotARecord("no RFC 5424 header")
+        raise RecordFormatError("no RFC 5424 header")
     _, stamp, host, _, process, message_id, rest = found.groups()
     try:
         at_s = datetime.fromisoformat(stamp).timestamp()
     except ValueError:
-        raise NotARecord(f"an unreadable time {stamp[:40]!r}") from None
+        raise RecordFormatError(f"an unreadable time {stamp[:40]!r}") from None
     return Line(at_s, host, process, message_id, dict(_elements(rest)))
 
 
@@ -118,14 +120,14 @@
     while text[at : at + 1] == "[":
         found = ELEMENT.match(text, at)
         if not found:
-            raise NotARecord("structured data that does not end")
+            raise RecordFormatError("structured data that does not end")
         values = {name: re.sub(r"\\([\"\\\]])", r"\1", value) for name, value in PARAM.findall(found[2])}
         yield found[1], values
         at = found.end()
 
 
-def of_line(line: Line) -> tuple[int, CallRecord] | None:
-    """Sequence number and record; None where the line holds none. Raises NotARecord for a spoilt one."""
+def parse_record(line: Line) -> tuple[int, CallRecord] | None:
+    """Sequence number and record; None where the line holds none. Raises RecordFormatError for a spoilt one."""
     row = line.data.get(CDR)
     if row is None:
         return None
@@ -143,24 +145,24 @@
                     "number",
                     "verdict",
                 ):
-                    raise NotARecord(f"no {KEYS.get(one.name, one.name)}")
+                    raise RecordFormatError(f"no {KEYS.get(one.name, one.name)}")
                 continue
             kind = one.type
             values[one.name] = text == "1" if kind is bool else kind(text)  # type: ignore[operator]
         sequence = int(row["seq"])
     except (KeyError, ValueError) as error:
-        if isinstance(error, NotARecord):
+        if isinstance(error, RecordFormatError):
             raise
-        raise NotARecord(f"a call detail record with an unusable value: {error}") from None
+        raise RecordFormatError(f"a call detail record with an unusable value: {error}") from None
     if values["verdict"] not in VERDICTS:
-        raise NotARecord(f"an unknown verdict {values['verdict']!r}")
+        raise RecordFormatError(f"an unknown verdict {values['verdict']!r}")
     return sequence, CallRecord(**values)  # type: ignore[arg-type]
 
 
-def count_of(line: Line) -> tuple[int, int] | None:
+def parse_count(line: Line) -> tuple[int, int] | None:
     """Written and dropped, of a count line."""
     row = line.data.get(COUNT)
     try:
         return (int(row["written"]), int(row["dropped"])) if row else None
     except (KeyError, ValueError):
-        raise NotARecord("a count with an unusable value") from None
+        raise RecordFormatError("a count with an unusable value") from None
--- a/tansyspur/cli/__init__.py
+++ b/tansyspur/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The sub-commands: what staff run beside the gatekeeper; imported only when one is called."""
+"""The sub-commands of the operators' tools; each module is imported only when its command is called."""
--- a/tansyspur/cli/plan.py
+++ b/tansyspur/cli/plan.py
@@ -67,13 +67,13 @@
         ],
         "groups": found.groups,
         "switches": found.switches,
-        "tandem": found.tandem,
-        "late": found.late,
+        "tandem": found.tandem_share,
+        "late": found.late_share,
         "residual": found.residual,
         "converged": found.converged,
         "fixed_points": found.fixed_points,
         "moments": [
-            {"at_s": m.at_s, "service": m.earned / m.offered if m.offered else 1.0, "busy": m.busy}
+            {"at_s": m.at_s, "service": m.earned / m.offered if m.offered else 1.0, "busy": m.busy_share}
             for m in found.moments
         ],
         "notes": found.notes,
@@ -86,7 +86,8 @@
         f"service {100 * found.service:.1f} of 100; one such run shows {100 * low:.1f} to {100 * high:.1f}",
         *(f"  {name:24} {100 * value:6.1f}" for name, value in found.service_by_class.items()),
         "by depot: " + ", ".join(f"{name} {100 * x:.1f}" for name, x in found.service_by_depot.items()),
-        f"{100 * found.tandem:.1f}% of the calls in time stand over a tandem, {100 * found.late:.1f}% stand late",
+        f"{100 * found.tandem_share:.1f}% of the calls in time stand over a tandem, "
+        f"{100 * found.late_share:.1f}% stand late",
         f"{'group':30} {'circuits':>8} {'offered':>9} {'full':>6}",
     ]
     for row in sorted(found.groups, key=lambda row: -row["blocking"])[:most]:
@@ -124,7 +125,7 @@
         from tansyspur.report import page
 
         try:
-            path = page.write(Path(report), known, asked, scale, found)
+            path = page.write_report(Path(report), known, asked, scale, found)
         except OSError as error:
             raise Unusable(f"--report: {error}") from None
         click.echo(f"report: {path}", err=True)
@@ -150,18 +151,18 @@
             {
                 "scale": found.scale if found else None,
                 "service": found.service if found else None,
-                "first": [{"kind": x.kind, "name": x.name, "strain": x.strain} for x in found.first]
+                "first": [{"kind": x.kind, "name": x.name, "strain": x.refused_share} for x in found.first]
                 if found
                 else [],
             }
         )
     if found is None:
-        return click.echo(f"the goal holds up to {questions.MOST_SCALE:g} times the load")
+        return click.echo(f"the goal holds up to {questions.MAX_SCALE:g} times the load")
     click.echo(
         f"at {found.scale:.2f} times the load, service {100 * found.service:.1f} is under {100 * goal:g}"
     )
     for one in found.first:
-        click.echo(f"  {one.kind:10} {one.name:30} refuses or holds back {100 * one.strain:.1f}%")
+        click.echo(f"  {one.kind:10} {one.name:30} refuses or holds back {100 * one.refused_share:.1f}%")
 
 
 @plan.command()
@@ -185,7 +186,7 @@
     except PlanError as error:
         raise Unusable(str(error)) from None
     before, after = make(known, asked), make(rest, asked)
-    others = make(rest, asked.between(rest.names))
+    others = make(rest, asked.restricted_to(rest.names))
     told = {
         "service_before": before.service,
         "service_after": after.service,
@@ -220,10 +221,10 @@
     told = {
         "met": found.met,
         "switches": found.switches,
-        "least_switches": found.least_switches,
+        "least_switches": found.min_switches,
         "service": found.service,
         "worst_loss": found.worst_loss,
-        "why": found.why,
+        "why": found.reason,
         "circuits": sum(found.circuits.values()),
         "groups": [{"ends": list(ends), "circuits": n} for ends, n in found.circuits.items()],
     }
@@ -236,9 +237,9 @@
         )
         if found.worst_loss:
             click.echo(f"the worst loss is that of {found.worst_loss}")
-        click.echo(f"no fewer than {found.least_switches} can: {found.why}" if found.met else found.why)
+        click.echo(f"no fewer than {found.min_switches} can: {found.reason}" if found.met else found.reason)
     if not found.met:
-        raise Cannot(f"the goal of {100 * goal:g} is out of reach: {found.why}")
+        raise Cannot(f"the goal of {100 * goal:g} is out of reach: {found.reason}")
 
 
 @plan.command()
@@ -287,7 +288,7 @@
     Example: tansyspur plan capture rig-run/calls-*.log --fleet fleet.cue --like load.cue --out measured.json
     """
     from tansyspur.planner import capture as reader
-    from tansyspur.planner.fleet import load_record
+    from tansyspur.planner.fleet import record_from_load
 
     known, model = read_plan(fleet, like)
     sources = {}
@@ -300,7 +301,7 @@
         found = reader.capture(sources, known.names, model, window)
     except ValueError as error:
         raise Unusable(str(error)) from None
-    Path(out).write_text(json.dumps(load_record(found.load), indent=1) + "\n")
+    Path(out).write_text(json.dumps(record_from_load(found.load), indent=1) + "\n")
     click.echo(
         f"{out}: {found.first_tries} calls, {found.redials} redials counted with them, {found.windows} windows"
     )
@@ -330,8 +331,8 @@
     import sys
     from concurrent.futures import ThreadPoolExecutor
 
-    from tansyspur.planner.forecast import cut_short
     from tansyspur.planner.forecast import forecast as make
+    from tansyspur.planner.forecast import truncate_load
 
     known, asked = read_plan(fleet, load)
 
@@ -351,7 +352,7 @@
     work = [(scale, seed) for scale in scales or (0.9, 1.1, 1.2) for seed in range(1, seeds + 1)]
     with ThreadPoolExecutor(jobs) as pool:
         measured = list(pool.map(run, work))
-    forecasts = {scale: make(known, cut_short(asked, seconds).scaled(scale)) for scale, _ in work}
+    forecasts = {scale: make(known, truncate_load(asked, seconds).scaled(scale)) for scale, _ in work}
     rows = [
         {
             "scale": scale, "seed": seed, "forecast": forecasts[scale].service, "measured": told["service"],
--- a/tansyspur/cli/records.py
+++ b/tansyspur/cli/records.py
@@ -16,16 +16,16 @@
 
 def read_plan(fleet_path: str, load_path: str):
     """A fleet and a load, checked against each other."""
-    from tansyspur.planner.fleet import PlanError, fleet_of, load_of
+    from tansyspur.planner.fleet import PlanError, fleet_from_record, load_from_record
 
     fleet_record, load_record = read(fleet_path, "fleet"), read(load_path, "load")
     path = fleet_path
     try:
-        fleet = fleet_of(fleet_record)
+        fleet = fleet_from_record(fleet_record)
         path = load_path
-        return fleet, load_of(load_record, fleet)
+        return fleet, load_from_record(load_record, fleet)
     except PlanError as error:
-        raise Unusable("\n".join(f"{path}: {one}" for one in error.troubles)) from None
+        raise Unusable("\n".join(f"{path}: {one}" for one in error.problems)) from None
 
 
 @click.group()
@@ -49,9 +49,9 @@
         from tansyspur.planner import fleet as plans
 
         try:
-            getattr(plans, f"{schema}_of")(record)
+            getattr(plans, f"{schema}_from_record")(record)
         except plans.PlanError as error:
-            raise Unusable("\n".join(f"{file}: {one}" for one in error.troubles)) from None
+            raise Unusable("\n".join(f"{file}: {one}" for one in error.problems)) from None
     click.echo(f"{file}: as the schema {schema} wants it")
 
 
--- a/tansyspur/cli/rig.py
+++ b/tansyspur/cli/rig.py
@@ -157,7 +157,8 @@
     )
     load = Load((seconds,), kinds, streams)
     click.echo(
-        f"three store switches, their gatekeepers, and {load.calls / seconds:.0f} calls a second", err=True
+        f"three store switches, their gatekeepers, and {load.total_calls / seconds:.0f} calls a second",
+        err=True,
     )
     with tempfile.TemporaryDirectory(prefix="tansyspur-demo-") as folder:
         result = play(fleet, load, 1.0, seconds, 7, Path(folder))
--- a/tansyspur/config.py
+++ b/tansyspur/config.py
@@ -9,16 +9,25 @@
 from pathlib import Path
 from typing import Any
 
-from tansyspur import interface as face
+from tansyspur import interface
 from tansyspur.iax2.auth import Peer
-from tansyspur.iax2.front import NumberRow
+from tansyspur.iax2.front import NumberRoute
 from tansyspur.translate import WireError, parse_settings
 
 RELEASE_MARGIN_NS = 70_000_000  # added to the rule's wait: a limit that is 50 ms longer, and a send's way
 
 
 # What a reload leaves as it is: sockets and budget are bound to these from the start.
-AT_START = ("name", "listen", "console", "limits", "peer_listen", "peers", "peers_all", "records_file")
+RESTART_ONLY_KEYS = (
+    "name",
+    "listen",
+    "console",
+    "limits",
+    "peer_listen",
+    "peers",
+    "peers_all",
+    "records_file",
+)
 
 
 class ConfigError(Exception):
@@ -34,11 +43,11 @@
 @dataclass(slots=True, frozen=True)
 class SyslogConfig:
     level: str = "info"
-    export: tuple[str, int] | None = None
+    udp_address: tuple[str, int] | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Iax2Switch:
+class Iax2SwitchConfig:
     """A carrier switch of the list that is reached by IAX2."""
 
     peer: str
@@ -51,19 +60,19 @@
 class Iax2Config:
     listen: tuple[str, int]
     username: str
-    numbers: tuple[NumberRow, ...]
+    numbers: tuple[NumberRoute, ...]
     peers: dict[str, Peer]
-    switches: dict[str, Iax2Switch]
-    register: dict[str, int]  # refresh in seconds, by peer
-    most_calls: int = 200
-    guests: bool = False
+    switches: dict[str, Iax2SwitchConfig]
+    registrations: dict[str, int]  # refresh in seconds, by peer
+    max_calls: int = 200
+    allow_guests: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
     name: str
     listen: tuple[str, int]
-    settings: face.Settings
+    settings: interface.Settings
     seed: int = 0
     limits: Limits = Limits()
     peer_listen: str | None = None
@@ -71,7 +80,7 @@
     peers_all: str | None = None
     channel: str | None = None
     console: tuple[str, int] | None = None
-    known: Mapping[str, Any] = field(default_factory=dict)
+    known_events: Mapping[str, Any] = field(default_factory=dict)
     dial_timeout_s: float = 0.5
     syslog: SyslogConfig = SyslogConfig()
     records_file: str | None = None  # of call detail records
@@ -79,7 +88,7 @@
     document: Mapping[str, Any] = field(default_factory=dict, repr=False)  # as it was read
 
     @property
-    def longest_deadline_s(self) -> float:
+    def max_deadline_s(self) -> float:
         return max(kind.deadline_ns for kind in self.settings.classes) / 1e9
 
 
@@ -115,7 +124,7 @@
     return default if not value else value / 1e9
 
 
-def beside_numbers(iax2: Iax2Config | None) -> Iax2Config | None:
+def without_numbers(iax2: Iax2Config | None) -> Iax2Config | None:
     """What of IAX2 is bound at the start; the numbers may change at a reload."""
     return iax2 and replace(iax2, numbers=())
 
@@ -159,10 +168,10 @@
 
 def load(
     environment: Mapping[str, str] = os.environ,
-    operator: str | None = None,
-    like: Config | None = None,
+    operator_path: str | None = None,
+    running: Config | None = None,
 ) -> Config:
-    """The configuration; a later one must have all that the running one, `like`, was read from."""
+    """The configuration; a later one must have all that the running one was read from."""
     path = environment.get("ROUTER_CONFIG")
     found = read_json(path) if path else {}
     name = environment.get("ROUTER_NAME") or found.get("name")
@@ -173,14 +182,14 @@
     if profile is None:
         raise ConfigError("settings: missing from ROUTER_CONFIG")
     check_settings(profile)
-    if like:
-        whole_as(found, like.document)
+    if running:
+        whole_as(found, running.document)
     try:
         settings = parse_settings(profile)
     except (WireError, ValueError, TypeError) as error:
         raise ConfigError(f"settings: {error}") from None
-    if settings.release_ns:
-        settings = replace(settings, release_ns=settings.release_ns + RELEASE_MARGIN_NS)
+    if settings.release_delay_ns:
+        settings = replace(settings, release_delay_ns=settings.release_delay_ns + RELEASE_MARGIN_NS)
     peers = typed(found, "peers", list, [])
     for entry in peers:
         address(entry, "peers")
@@ -195,7 +204,7 @@
         raise ConfigError(f"seed: expected hex digits, not {seed!r}") from None
     limits = typed(found, "limits", dict, {})
     wire_limits = typed(profile, "limits", dict, {}, "settings.")
-    operated = read_operator(operator) if operator else {}
+    operated = read_operator(operator_path) if operator_path else {}
     return Config(
         name=name,
         listen=listen,
@@ -209,7 +218,7 @@
         peers_all=found.get("peers_all"),
         channel=found.get("channel"),
         console=address(console, "ROUTER_CONSOLE") if console else None,
-        known=typed(found, "known", dict, {}),
+        known_events=typed(found, "known", dict, {}),
         dial_timeout_s=seconds(wire_limits, "dial-timeout-ns", 0.5),
         syslog=syslog_config(typed(operated, "syslog", dict, {})),
         records_file=records_file(typed(operated, "records", dict, {})),
@@ -262,7 +271,7 @@
 
 
 def iax2_config(
-    operated: Mapping[str, Any], name: str, settings: face.Settings, environment: Mapping[str, str]
+    operated: Mapping[str, Any], name: str, settings: interface.Settings, environment: Mapping[str, str]
 ) -> Iax2Config | None:
     """The second front; off where the operator's file has no table for it."""
     only(operated, "operator's file: ", "iax2", "syslog", "records")
@@ -284,7 +293,7 @@
             or not 0 <= qualify_s <= 3600
         ):
             raise ConfigError(f"{where}qualify_s: expected seconds from 0 to 3600, not {qualify_s!r}")
-        switches[required(row, "name", where)] = Iax2Switch(
+        switches[required(row, "name", where)] = Iax2SwitchConfig(
             known_peer(row, peers, where),
             whole(row, "circuits", 0, where, 0, 10_000),
             typed(row, "context", str, "", where),
@@ -303,9 +312,9 @@
         numbers=tuple(number_row(row, where, settings) for where, row in rows_of(table, "number")),
         peers=peers,
         switches=switches,
-        register=register,
-        most_calls=whole(table, "max_calls", 200, "iax2.", 1, 4000),
-        guests=typed(table, "guests", bool, False, "iax2."),
+        registrations=register,
+        max_calls=whole(table, "max_calls", 200, "iax2.", 1, 4000),
+        allow_guests=typed(table, "guests", bool, False, "iax2."),
     )
 
 
@@ -340,14 +349,14 @@
     )
 
 
-def number_row(row: Mapping[str, Any], where: str, settings: face.Settings) -> NumberRow:
+def number_row(row: Mapping[str, Any], where: str, settings: interface.Settings) -> NumberRoute:
     only(row, where, "prefix", "exchange", "class", "deadline_ms")
     kinds = {kind.name: kind for kind in settings.classes}
     class_name = typed(row, "class", str, settings.classes[0].name, where)
     if class_name not in kinds:
         raise ConfigError(f"{where}class: no class is named {class_name!r}")
     most_ms = kinds[class_name].deadline_ns // 1_000_000
-    return NumberRow(
+    return NumberRoute(
         typed(row, "prefix", str, "", where),
         whole(row, "exchange", None, where, 0, 1_000_000),
         class_name,
--- a/tansyspur/core/__init__.py
+++ b/tansyspur/core/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a call, without a wire: fronts and carrier switches are met through core/ports.py."""
+"""The life of a call, independent of protocols; core/ports.py defines the interfaces to callers and switches."""
--- a/tansyspur/core/lease.py
+++ b/tansyspur/core/lease.py
@@ -70,7 +70,7 @@
     def connected(self, link: Hashable, now: float) -> None:
         self._connections[link] = Connection(ProcessRun(confirmed_at=now, opened_at=now), now)
 
-    def heard(self, link: Hashable, now: float) -> None:
+    def received(self, link: Hashable, now: float) -> None:
         """Bytes have come on this connection."""
         connection = self._connections[link]
         run = connection.run
@@ -95,17 +95,17 @@
             elif call.connection is None and ended.heard_at is None:
                 call.traceable, call.confirmed_at = False, self._confirmed_at(call)
 
-    def stands(self, call_id: str, link: Hashable, now: float) -> None:
+    def call_answered(self, call_id: str, link: Hashable, now: float) -> None:
         connection = self._connections[link]
         self._calls[call_id] = StandingCall(connection.run, connection, now)
 
-    def released(self, call_id: str, link: Hashable) -> None:
+    def call_released(self, call_id: str, link: Hashable) -> None:
         """The switch told the end of a call that stood: this connection's process knew it."""
         call, told_by = self._calls.get(call_id), self._connections[link].run
         if call is not None and call.run is not told_by:
             self._merge(call.run, told_by)
 
-    def over(self, call_id: str) -> None:
+    def call_ended(self, call_id: str) -> None:
         self._calls.pop(call_id, None)
 
     # What follows
@@ -123,7 +123,7 @@
                 self._merge(call.run, call.run.successor)
         return [call_id for call_id, call in self._calls.items() if self._expires_at(call) <= now]
 
-    def wants_fresh_connection(self) -> bool:
+    def needs_new_connection(self) -> bool:
         """Whether a call is confirmed by new connections only."""
         return any(
             call.connection is None and call.run.lossy and call.traceable for call in self._calls.values()
--- a/tansyspur/core/ports.py
+++ b/tansyspur/core/ports.py
@@ -1,13 +1,17 @@
-"""What the core asks of those who bring calls and those who take them, and what they tell it."""
+"""Interfaces between the core and its adapters: fronts, which bring callers, and carrier switches.
+
+A front offers calls to the gatekeeper and implements CallerLeg. A switch adapter implements Switch and SwitchLeg,
+and reports to the call with SwitchSignal. Times are in the unit of the suffix: _ms, or _ns of the gatekeeper's clock.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 from enum import Enum
 from typing import Protocol
 
-from tansyspur import interface as face
+from tansyspur import interface
 
-# Causes of Q.850 that the core gives; the fronts translate them where their wire has others.
+# Cause values of Q.850 that the core uses; a front translates them where its protocol has others.
 NORMAL_CLEARING = 16
 NO_CIRCUIT = 34
 TEMPORARY_FAILURE = 41
@@ -18,19 +22,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """A call as its caller asked for it. Id, number and description pass through unchanged."""
+    """A call as its caller requested it. Id, called number and description are passed on unchanged."""
 
-    wire_id: str
+    wire_id: str  # the caller's id of the call
     class_name: str
-    left_ms: float
-    destination: int
-    number: str
-    description: str
-    circuits: float = 1
-    via: int | None = None
-    in_transit: bool = False
-    redial: bool = False
-    was_cut: bool = False
+    remaining_ms: float  # how long the caller still waits for an answer
+    destination: int  # exchange number
+    called_number: str
+    description: str  # session description (SDP)
+    circuits: float = 1  # circuits that the call takes
+    via: int | None = None  # exchange number: of the sender if in transit, else of an advised tandem
+    in_transit: bool = False  # sent by another gatekeeper: this one is the tandem
+    redial: bool = False  # another try of a call that was refused or failed
+    was_cut: bool = False  # another try of a call that had been answered and was then cut
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,89 +42,94 @@
     """One attempt, as a carrier switch is asked for it."""
 
     offer: Offer
-    attempt: int
-    wait_ms: int
+    attempt: int  # number of the attempt, from 0
+    timeout_ms: int  # the attempt is given up this long after the request
 
 
-# What a leg tells the call it belongs to.
+# Signals from a leg to the call that it belongs to
 
 
 @dataclass(slots=True, frozen=True)
-class Stood:
-    description: str
+class Answered:
+    description: str  # session description (SDP) of the answer
 
 
 class EndReason(Enum):
-    """Why an attempt or a call that stood is over, for the log and the metrics."""
+    """Why an attempt or an answered call ended. The values are labels in the log and the metrics."""
 
-    SWITCH_RELEASED = "switch_released"  # at its end, as the switch told
-    SWITCH_CUT = "switch_cut"  # as the switch told
-    SWITCH_REFUSED = "switch_refused"  # no set-up: its answer said so
+    SWITCH_RELEASED = "switch_released"  # normal release by the switch
+    SWITCH_CUT = "switch_cut"  # release by the switch with another cause than normal clearing
+    SWITCH_REFUSED = "switch_refused"  # the switch refused the set-up
     CALLER = "caller"  # the caller gave up or hung up
-    CONNECTION_LOST = "connection_lost"  # under the set-up
-    CONNECTION_REFUSED = "connection_refused"  # nothing runs at the switch's address
-    NO_CONNECTION = "no_connection"  # none came up in time
-    SWITCH_SILENT = "switch_silent"  # no sign of the process that held the call for too long
+    CONNECTION_LOST = "connection_lost"  # the connection ended before the set-up was answered
+    CONNECTION_REFUSED = "connection_refused"  # nothing listens at the switch's address
+    NO_CONNECTION = "no_connection"  # no connection came up in time
+    SWITCH_SILENT = "switch_silent"  # nothing was received for too long from the process that held the call
     ADDRESS_TAKEN = "address_taken"  # another switch is listed at its address
-    SWITCH_RESTARTED = "switch_restarted"  # as discovery told
-    SWITCH_REMOVED = "switch_removed"  # as discovery told
-    HELD_BACK = "held_back"  # a drain or the last guard kept the set-up from leaving
-    STOPPED = "stopped"  # the gatekeeper ends
-    INTERNAL = "internal"  # an error of our own
+    SWITCH_RESTARTED = "switch_restarted"  # reported by discovery
+    SWITCH_REMOVED = "switch_removed"  # reported by discovery
+    HELD_BACK = "held_back"  # a drain or the final check kept the set-up from being sent
+    STOPPED = "stopped"  # the gatekeeper is stopping
+    INTERNAL = "internal"  # an error in the gatekeeper
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
-    outcome: face.Outcome
-    cause: face.Cause | None = None
-    report: face.Report | None = None
+class LegEnded:
+    """The attempt ended without an answer, or the answered call ended."""
+
+    outcome: interface.Outcome
+    cause: interface.Cause | None = None
+    report: interface.LoadReport | None = None
     reason: EndReason | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class CallerLeft:
-    """The caller gave the set-up up, or hung up a call that stood."""
+    """The caller gave up the set-up, or hung up an answered call."""
 
-    cause: int = NORMAL_CLEARING
-    failed: bool = False  # it did not leave by itself: its front failed the call
+    cause: int = NORMAL_CLEARING  # of Q.850
+    failed: bool = False  # the caller did not leave by itself: its front failed the call
     reason: EndReason = EndReason.CALLER
 
 
 @dataclass(slots=True, frozen=True)
-class Over:
-    """A call from its offer to its end, for whoever keeps records. Times are of the gatekeeper's clock."""
+class CompletedCall:
+    """A call from its offer to its end, for call detail records. Times are of the gatekeeper's clock."""
 
     offer: Offer
     verdict: str  # ended, cut, refused, failed, given up
     offered_ns: int
     ended_ns: int
-    stood_ns: int = 0  # 0: it never stood
+    answered_ns: int = 0  # 0: it was never answered
     attempts: int = 0
-    switch: str = ""
-    tandem: bool = False
+    switch: str = ""  # name of the last attempt's switch
+    tandem: bool = False  # the last attempt was not toward the destination itself
     cause: str = ""
 
 
-SwitchSignal = Stood | Ended
-Signal = Stood | Ended | CallerLeft
+SwitchSignal = Answered | LegEnded
+Signal = Answered | LegEnded | CallerLeft
 
 
 class CallerLeg(Protocol):
-    """The caller's side of one call."""
+    """The caller's side of one call.
+
+    Causes are of Q.850. A retry_after_ms of 0 gives the caller no time for its next try.
+    """
 
     def answer(self, description: str) -> bool:
-        """Pass the answer on; false if the caller can no longer be reached."""
+        """Pass the answer on. Returns False if the caller can no longer be reached."""
 
-    def refuse(self, cause: int, wait_ms: int) -> None: ...
+    def refuse(self, cause: int, retry_after_ms: int) -> None: ...
 
     def fail(self, cause: int) -> None: ...
 
     def release(self, cause: int) -> None:
-        """The call that stood is over."""
+        """The answered call has ended."""
 
 
 class SwitchLeg(Protocol):
-    """The carrier switch's side of one attempt. Having been cancelled or released it tells no more."""
+    """The switch's side of one attempt. It sends no signal after it was cancelled or released."""
 
     def cancel(self) -> None: ...
 
@@ -128,61 +137,69 @@
 
 
 class Switch(Protocol):
-    """One carrier switch."""
+    """A carrier switch, as one protocol reaches it. probe() requests its load, and reports it to notify."""
 
-    uses_listed_address: bool  # whether it is reached at the address in the list of switches
+    uses_listed_address: bool  # whether it is reached at the address in the switch list
 
     @property
-    def reached(self) -> bool:
-        """Whether it can be spoken to at this moment, as far as is known."""
+    def reachable(self) -> bool:
+        """Whether there is a connection to it at the moment, as far as is known."""
 
-    def place(
+    def start_attempt(
         self,
         request: SetUpRequest,
         may_send: Callable[[], bool],
-        written: Callable[[], None],
-        tell: Callable[[SwitchSignal], None],
+        on_written: Callable[[], None],
+        notify: Callable[[SwitchSignal], None],
     ) -> SwitchLeg:
-        """Start an attempt. may_send() is asked at the very write, which may be later than this call;
-        written() is called when the last byte has left."""
+        """Start an attempt, and report to notify until it has ended.
+
+        may_send is called immediately before the set-up is written, which may be later than this call. on_written is
+        called when its last byte has been sent.
+        """
 
-    def probe(self, tell: Callable[[face.Outcome, face.Report | None], None]) -> None: ...
+    def probe(self, notify: Callable[[interface.Outcome, interface.LoadReport | None], None]) -> None: ...
 
-    def closed_to_new(self) -> None:
-        """It drains or is gone: what is not fully written must not leave any more."""
+    def stop_new_attempts(self) -> None:
+        """The switch drains or is gone: a set-up that is not completely written must not be sent any more."""
 
-    def restarted(self, at_ns: int) -> None:
-        """Its process started then: what was sent to the one before it is over, told or not."""
+    def process_restarted(self, at_ns: int) -> None:
+        """The process of the switch started at at_ns: what was sent to the one before it has ended."""
 
     def retire(self, reason: EndReason = EndReason.SWITCH_REMOVED) -> None:
-        """It is gone: what stands there is cut, and nothing more is sent to its address."""
+        """The switch is gone: its calls are cut, and nothing more is sent to its address."""
 
     def close(self) -> None: ...
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
-    """An entry of the list of carrier switches. The name is its identity; addresses are used again."""
+class SwitchListing:
+    """An entry of the switch list. The name is the identity of a switch; addresses are used again."""
 
     name: str
-    address: str
-    number: int
-    state: face.ExchangeState
+    address: str  # host:port
+    exchange_number: int
+    state: interface.SwitchState
     zone: str = ""
-    started_ns: int | None = None
+    started_ns: int | None = None  # last processor start; None: long ago
 
-    def as_exchange(self, exchange_id: int) -> face.Exchange:
-        return face.Exchange(exchange_id, self.number, self.state, self.zone, self.started_ns)
+    def as_carrier_switch(self, switch_id: int) -> interface.CarrierSwitch:
+        return interface.CarrierSwitch(
+            switch_id, self.exchange_number, self.state, self.zone, self.started_ns
+        )
 
-    def same_start(self, other: "Listing | None") -> bool:
+    def same_process(self, other: "SwitchListing | None") -> bool:
+        """Whether the entries differ in zone or address at most."""
         return other is not None and replace(other, zone=self.zone, address=self.address) == self
 
 
 class Messenger(Protocol):
-    """The way to the other gatekeepers."""
+    """Sends messages to the other gatekeepers; peer is an ordinal, None for all of them."""
 
     def send(self, peer: int | None, data: bytes) -> None: ...
 
 
-class SwitchMaker(Protocol):
-    def __call__(self, name: str, address: str, on_report: Callable[[face.Report], None]) -> Switch: ...
+class SwitchFactory(Protocol):
+    def __call__(
+        self, name: str, address: str, on_report: Callable[[interface.LoadReport], None]
+    ) -> Switch: ...
--- a/tansyspur/faults/__init__.py
+++ b/tansyspur/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults played between real processes on loopback: a proxy whose links can be cut, silenced or delayed."""
+"""Fault injection between real processes on loopback: a proxy that cuts, silences or delays connections."""
--- a/tansyspur/iax2/__init__.py
+++ b/tansyspur/iax2/__init__.py
@@ -1,1 +1,1 @@
-"""IAX2 callers and switches (RFC 5456) on the same core: codec, reliable transport, front and back."""
+"""IAX2 (RFC 5456) callers and carrier switches: codec, reliable transport, registration, call handling."""
--- a/tansyspur/iax2/back.py
+++ b/tansyspur/iax2/back.py
@@ -4,14 +4,14 @@
 import time
 from collections.abc import Callable
 
-from tansyspur import interface as face
+from tansyspur import interface
 from tansyspur.core.ports import (
     NORMAL_CLEARING,
     TIMER_EXPIRED,
-    Ended,
+    Answered,
     EndReason,
+    LegEnded,
     SetUpRequest,
-    Stood,
     SwitchSignal,
 )
 from tansyspur.iax2 import causes
@@ -49,7 +49,7 @@
         self.stands = self.over = self.proven = False
         self.sent_ns = time.time_ns()
 
-    def end(self, ended: Ended | None) -> None:
+    def end(self, ended: LegEnded | None) -> None:
         """Once; the core is told unless it ended the attempt itself."""
         if not self.over:
             self.over = True
@@ -70,7 +70,7 @@
         leg.iax(
             Iax.NEW,
             (IE.VERSION, VERSION.to_bytes(2, "big")),
-            (IE.CALLED_NUMBER, self.order.offer.number),
+            (IE.CALLED_NUMBER, self.order.offer.called_number),
             (IE.USERNAME, self.switch.username),
             *([(IE.CALLED_CONTEXT, self.switch.context)] if self.switch.context else []),
             (IE.FORMAT, wanted or FORMATS["ulaw"]),
@@ -97,7 +97,7 @@
         if self.proven or not peer.secret or not number_of(elements, IE.AUTHMETHODS) & AUTH_MD5:
             leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([NORMAL_CLEARING])))
             self.switch.log("warning", "iax2", "the switch's challenge cannot be met", user=peer.name)
-            return self.end(Ended(face.Outcome.FAULT))
+            return self.end(LegEnded(interface.Outcome.FAULT))
         self.proven = True
         leg.iax(Iax.AUTHREP, (IE.MD5_RESULT, answer_to(text_of(elements, IE.CHALLENGE), peer.secret)))
 
@@ -105,20 +105,20 @@
         if subclass == Control.ANSWER and not self.stands:
             self.stands = True
             leg.keep_alive()
-            self._tell(Stood(describe(leg, self.wire_id, self.format)))
+            self._tell(Answered(describe(leg, self.wire_id, self.format)))
         elif subclass == Control.HANGUP:
             leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([NORMAL_CLEARING])))
             self._released(NORMAL_CLEARING)
         elif subclass in (Control.BUSY, Control.CONGESTION) and not self.stands:
             leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([NORMAL_CLEARING])))
             row = causes.of_code(BUSY if subclass == Control.BUSY else 34)
-            self.end(Ended(row.outcome, row.cause))
+            self.end(LegEnded(row.outcome, row.cause))
 
     def _released(self, code: int) -> None:
         if self.stands:
-            return self.end(Ended(causes.standing_outcome(code)))
+            return self.end(LegEnded(causes.standing_outcome(code)))
         row = causes.of_code(code)
-        self.end(Ended(row.outcome, row.cause))
+        self.end(LegEnded(row.outcome, row.cause))
 
     def media(self, leg: Leg, frame: FullFrame | MiniFrame) -> None:
         self.switch.bridge.media(self.wire_id, leg, frame)
@@ -126,7 +126,7 @@
     def lost(self, leg: Leg, reason: str) -> None:
         self.switch.log("notice", "iax2", f"attempt lost: {reason}", call=self.wire_id)
         why = EndReason.SWITCH_SILENT if self.stands else EndReason.CONNECTION_LOST
-        self.end(Ended(face.Outcome.CUT, reason=why))
+        self.end(LegEnded(interface.Outcome.CUT, reason=why))
 
     # What the core says
 
@@ -153,14 +153,14 @@
         circuits: int,
         context: str,
         qualify_s: float,
-        on_report: Callable[[face.Report], None],
+        on_report: Callable[[interface.LoadReport], None],
         log: Log,
     ) -> None:
         self.name, self.endpoint, self.registrar, self.bridge = name, endpoint, registrar, bridge
         self.peer, self.username, self.circuits, self.context = peer, username, circuits, context
         self.on_report, self.log, self.qualify_s = on_report, log, qualify_s
         self.attempts: set[Attempt] = set()
-        self.reached = True
+        self.reachable = True
         self.retired = False
         self.loop = asyncio.get_running_loop()
         self.loop.call_soon(self._report)
@@ -171,7 +171,7 @@
         """Free circuits of this gatekeeper's group, where the operator gave its size."""
         if self.circuits and not self.retired:
             free = max(0, self.circuits - len(self.attempts))
-            self.on_report(face.Report(free=free, size=self.circuits))
+            self.on_report(interface.LoadReport(free=free, size=self.circuits))
 
     def ended(self, attempt: Attempt) -> None:
         self.attempts.discard(attempt)
@@ -180,45 +180,45 @@
         # The attempt's own end is told first, then the circuit that it frees.
         self.loop.call_soon(self._report)
 
-    def place(
+    def start_attempt(
         self,
         order: SetUpRequest,
         may_send: Callable[[], bool],
-        written: Callable[[], None],
-        tell: Callable[[SwitchSignal], None],
+        on_written: Callable[[], None],
+        notify: Callable[[SwitchSignal], None],
     ) -> Attempt:
-        attempt = Attempt(self, order, tell)
+        attempt = Attempt(self, order, notify)
         self.attempts.add(attempt)
         address = self.registrar.address(self.peer.name)
-        if address is None or not self.reached:
-            attempt.end(Ended(face.Outcome.NO_ROUTE))
+        if address is None or not self.reachable:
+            attempt.end(LegEnded(interface.Outcome.NO_ROUTE))
         elif self.circuits and len(self.attempts) > self.circuits:
-            attempt.end(Ended(face.Outcome.NOT_SENT, face.Cause.NO_CIRCUIT))
+            attempt.end(LegEnded(interface.Outcome.NOT_SENT, interface.Cause.NO_CIRCUIT))
         elif not may_send():
-            attempt.end(Ended(face.Outcome.NOT_SENT))
+            attempt.end(LegEnded(interface.Outcome.NOT_SENT))
         else:
             leg = self.endpoint.leg(address, attempt)
             if leg is None:
-                attempt.end(Ended(face.Outcome.NOT_SENT))
+                attempt.end(LegEnded(interface.Outcome.NOT_SENT))
             else:
                 attempt.start(leg)
-                written()
+                on_written()
                 self._report()
         return attempt
 
-    def probe(self, tell: Callable[[face.Outcome, face.Report | None], None]) -> None:
+    def probe(self, notify: Callable[[interface.Outcome, interface.LoadReport | None], None]) -> None:
         """IAX2 tells no load; the own group is what is known."""
         free = self.circuits - len(self.attempts) if self.circuits else None
-        tell(face.Outcome.ENDED, face.Report(free=free, size=self.circuits or None))
+        notify(interface.Outcome.ENDED, interface.LoadReport(free=free, size=self.circuits or None))
 
-    def closed_to_new(self) -> None:
+    def stop_new_attempts(self) -> None:
         """Guards against a NEW repeated to a switch that drains: unacknowledged ones are given up."""
         for attempt in list(self.attempts):
             if attempt.leg and not attempt.leg.remote:
                 attempt.leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([NORMAL_CLEARING])))
-                attempt.end(Ended(face.Outcome.CUT))
+                attempt.end(LegEnded(interface.Outcome.CUT))
 
-    def restarted(self, at_ns: int) -> None:
+    def process_restarted(self, at_ns: int) -> None:
         before = [attempt for attempt in self.attempts if attempt.sent_ns < at_ns]
         self._cut(before, EndReason.SWITCH_RESTARTED)
 
@@ -230,7 +230,7 @@
         for attempt in attempts:
             if attempt.leg:
                 attempt.leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([TIMER_EXPIRED])))
-            attempt.end(Ended(face.Outcome.CUT, reason=reason))
+            attempt.end(LegEnded(interface.Outcome.CUT, reason=reason))
 
     def close(self) -> None:
         self.retired = True
@@ -247,8 +247,8 @@
         self.loop.call_later(self.qualify_s, self._qualify)
 
     def found(self, reachable: bool) -> None:
-        if reachable is not self.reached:
-            self.reached = reachable
+        if reachable is not self.reachable:
+            self.reachable = reachable
             self.log("notice", "iax2", "reachable" if reachable else "does not answer", switch=self.name)
 
 
--- a/tansyspur/iax2/front.py
+++ b/tansyspur/iax2/front.py
@@ -28,11 +28,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NumberRow:
+class NumberRoute:
     """Called numbers with this prefix: where they lead, their class, and how long a caller waits."""
 
     prefix: str
-    exchange: int
+    exchange_number: int
     class_name: str
     deadline_ms: int
     circuits: float = 1  # as the class takes
@@ -43,12 +43,12 @@
         self,
         gatekeeper: Gatekeeper,
         registrar: Registrar,
-        numbers: tuple[NumberRow, ...],
+        numbers: tuple[NumberRoute, ...],
         bridge: Bridge,
         rng: random.Random,
         log: Log,
-        most_calls: int,
-        guests: bool,
+        max_calls: int,
+        allow_guests: bool,
     ) -> None:
         self.gatekeeper, self.registrar, self.bridge, self.rng, self.log = (
             gatekeeper,
@@ -58,29 +58,29 @@
             log,
         )
         self.set_numbers(numbers)
-        self.most_calls, self.guests = most_calls, guests
+        self.max_calls, self.allow_guests = max_calls, allow_guests
         self.calls: set[Caller] = set()
 
-    def set_numbers(self, numbers: tuple[NumberRow, ...]) -> None:
+    def set_numbers(self, numbers: tuple[NumberRoute, ...]) -> None:
         self.numbers = sorted(numbers, key=lambda row: -len(row.prefix))
 
     def on_new(self, leg: Leg, frame: FullFrame, elements: dict[int, bytes]) -> LegUser | None:
         if not frame.is_iax(Iax.NEW):
             user: LegUser = RegistrationLeg(self.registrar)
-        elif not self.gatekeeper.admits:
+        elif not self.gatekeeper.accepts_callers:
             # An IAX2 caller has no front that looks away: it is told at once, and calls another.
             self.log("info", "iax2", "a call was turned away", peer=leg.address[0])
-            return turn_away(leg, frame, elements)
+            return reject_new_leg(leg, frame, elements)
         else:
             user = Caller(self, leg)
         user.heard(leg, frame, elements)
         return None if leg.closed else user
 
-    def row_for(self, number: str) -> NumberRow | None:
+    def row_for(self, number: str) -> NumberRoute | None:
         return next((row for row in self.numbers if number.startswith(row.prefix)), None)
 
 
-def turn_away(leg: Leg, frame: FullFrame, elements: dict[int, bytes]) -> None:
+def reject_new_leg(leg: Leg, frame: FullFrame, elements: dict[int, bytes]) -> None:
     """While the front is not open."""
     code = (IE.CAUSECODE, bytes([CONGESTION]))
     leg.finish(Iax.REJECT if frame.is_iax(Iax.NEW) else Iax.REGREJ, code)
@@ -124,14 +124,14 @@
         self.request = elements
         front, name = self.front, text_of(elements, IE.USERNAME)
         self.peer = front.registrar.peers.get(name)
-        if len(front.calls) >= front.most_calls:
+        if len(front.calls) >= front.max_calls:
             return self._reject(CONGESTION)
         if self.peer and self.peer.secret and self.peer.may_call:
             self.challenge = front.registrar.challenge()
             self.leg.iax(Iax.AUTHREQ, *challenge_elements(self.challenge, name))
             self.timer = self.leg.loop.call_later(AUTH_S, self._reject, TIMER_EXPIRED)
             front.calls.add(self)
-        elif front.guests and not name:
+        elif front.allow_guests and not name:
             self._offer()
         else:
             self._reject(REJECTED)
@@ -155,9 +155,9 @@
         offer = Offer(
             wire_id=self.wire_id,
             class_name=row.class_name,
-            left_ms=row.deadline_ms,
-            destination=row.exchange,
-            number=number,
+            remaining_ms=row.deadline_ms,
+            destination=row.exchange_number,
+            called_number=number,
             circuits=row.circuits,
             description=describe(self.leg, self.wire_id, media_format),
         )
@@ -166,7 +166,7 @@
     def _left(self, cause: int) -> None:
         self._over()
         if self.call:
-            self.call.left(cause)
+            self.call.caller_left(cause)
 
     def media(self, leg: Leg, frame: FullFrame | MiniFrame) -> None:
         self.front.bridge.media(self.wire_id, leg, frame)
@@ -186,8 +186,8 @@
         self.leg.keep_alive()
         return True
 
-    def refuse(self, cause: int, wait_ms: int) -> None:
-        self._hang_up(cause, wait_ms)
+    def refuse(self, cause: int, retry_after_ms: int) -> None:
+        self._hang_up(cause, retry_after_ms)
 
     def fail(self, cause: int) -> None:
         self._hang_up(cause)
--- a/tansyspur/iax2/transport.py
+++ b/tansyspur/iax2/transport.py
@@ -227,7 +227,7 @@
         self.numbers = itertools.cycle(range(1, MOST_CALL_NUMBER))
         # Who takes a NEW, REGREQ or REGREL that belongs to no leg; None refuses it.
         self.on_new: Callable[[Leg, FullFrame, dict[int, bytes]], LegUser | None] = lambda *_: None
-        self.available: Callable[[], bool] = lambda: True  # whether a POKE is to be answered with PONG
+        self.is_available: Callable[[], bool] = lambda: True  # whether a POKE is to be answered with PONG
         self.transport: asyncio.DatagramTransport | None = None
 
     async def open(self, host: str, port: int) -> None:
@@ -303,7 +303,7 @@
 
     def _first(self, frame: FullFrame, addr: Address) -> None:
         if frame.is_iax(Iax.POKE):
-            if not self.available():
+            if not self.is_available():
                 return self._invalid(frame, addr)  # not a PONG: the other side places its calls elsewhere
             pong = FullFrame(
                 MOST_CALL_NUMBER,
--- a/tansyspur/interface.py
+++ b/tansyspur/interface.py
@@ -1,6 +1,7 @@
-"""The types between a softswitch and the decisions in tansyspur/policy.py: settings, events, actions.
+"""Types exchanged between a gatekeeper and the decision module in tansyspur/policy.py.
 
-Times are integer nanoseconds (suffix _ns). A figure that is not known is None, never zero or -1.
+The gatekeeper gives the module its settings and then one event at a time; the module returns actions. Times are
+integer nanoseconds of the gatekeeper's clock (suffix _ns). A value that is not known is None, never zero or -1.
 """
 
 from dataclasses import dataclass
@@ -8,28 +9,28 @@
 
 
 class Effect(Enum):
-    """What a repeated set-up of a class may do at the far exchange."""
+    """What a repeated set-up of a class may do at the far switch."""
 
-    REPEATABLE = "repeatable"
-    DEDUPLICATED = "deduplicated"
-    AT_MOST_ONCE = "at most once"
+    REPEATABLE = "repeatable"  # a repeat does no harm
+    DEDUPLICATED = "deduplicated"  # a repeat is recognized, see CallClass.dedup_scope
+    AT_MOST_ONCE = "at most once"  # must not be repeated once it may have run
 
 
 class Outcome(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a probe ended. The values are part of the log format."""
 
-    ENDED = "ended"  # the call stood to its end, or the probe was answered
+    ENDED = "ended"  # the answered call ended normally, or the probe was answered
     FAULT = "fault"  # all lines of the number busy, or a signalling fault
-    NO_ROOM = "no room"  # turned back, or a processor or pool was full
-    TIMED_OUT = "timed out"  # no answer in time; the set-up may have gone on
-    NO_ROUTE = "no route"  # no connection to the exchange
-    CUT = "cut"
-    CANCELLED = "cancelled"
+    NO_ROOM = "no room"  # turned back by the tandem, or a processor or pool was full
+    TIMED_OUT = "timed out"  # no answer in time; the switch may still have completed the set-up
+    NO_ROUTE = "no route"  # no connection to the switch
+    CUT = "cut"  # interrupted, for example by a lost connection or a restart of the switch
+    CANCELLED = "cancelled"  # by the gatekeeper
     NOT_SENT = "not sent"  # no circuit free, own processor down, too late, or too many attempts
 
 
 class Cause(Enum):
-    """Why an attempt did not stand, where that is told."""
+    """Why an attempt was not answered, where the switch reported it. The values are part of the log format."""
 
     NO_CIRCUIT = "no circuit"
     TURNED_BACK = "turned back by the tandem"
@@ -38,216 +39,247 @@
     NUMBER_BUSY = "all lines of the number busy"
 
 
-class ExchangeState(Enum):
+class SwitchState(Enum):
+    """State of a carrier switch in the list from discovery. The values are part of the log format."""
+
     IN_SERVICE = "in service"
-    DRAINING = "draining"
+    DRAINING = "draining"  # takes no new set-ups; its answered calls go on
     GONE = "gone"
 
 
-class ListKind(Enum):
-    CHANGES = "changes"
-    WHOLE = "whole"
-    STALE_COPY = "stale copy"  # the whole list, as last held
-    FAILED = "failed"  # asking for the list failed; the old one stays
+class SwitchListKind(Enum):
+    """What the entries of a SwitchList stand for."""
+
+    CHANGES = "changes"  # only the switches that changed
+    COMPLETE = "complete"  # all switches; one that is missing is gone
+    STALE_COPY = "stale copy"  # all switches, as last received; may be out of date
+    FAILED = "failed"  # the request for the list failed; the previous list stays valid
 
 
 @dataclass(slots=True, frozen=True)
 class CallClass:
+    """A class of calls: what a call is worth, how soon it must be answered and which circuits it takes."""
+
     name: str
-    worth: float
-    aim_ns: int  # a call that stands within this time earns its full worth
-    deadline_ns: int
-    late_worth: float = 0.0  # share of the worth between aim and deadline
-    hold_ns: int = 0  # mean length of a call, 0 if not told
-    circuits: float = 1
+    worth: float  # earned by a call that is answered within the objective
+    objective_ns: int  # delay objective: a call answered within this time earns its full worth
+    deadline_ns: int  # the longest that a caller waits
+    late_worth: float = 0.0  # share of the worth earned between objective and deadline, 0 to 1
+    holding_time_ns: int = 0  # mean holding time of a call; 0: not known
+    circuits: float = 1  # circuits that a call takes
     effect: Effect = Effect.REPEATABLE
-    same_group: str = "all"  # deduplicated: repeats only to the same "zone" or "cell", or to "all"
-    window_ns: int = 0
-    pools: tuple[int, ...] = ()  # shape "pools": where calls of this class may go
+    dedup_scope: str = "all"  # DEDUPLICATED: repeats only to the same "zone" or "cell", or to "all"
+    dedup_window_ns: int = 0  # DEDUPLICATED: how long a repeat is recognized
+    pools: tuple[int, ...] = ()  # shape "pools": exchange numbers that may take calls of this class
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
+    """Settings of one gatekeeper. Raises ValueError for a combination that cannot work."""
+
     classes: tuple[CallClass, ...]
-    own_exchange: int | None = None  # number of the exchange where this softswitch runs
-    shape: str = "mesh"  # or "pools"
-    softswitches: int = 1
-    ordinal: int = 0  # number of this softswitch among its peers; not an exchange number
-    tick_ns: int = 5_000_000
-    release_ns: int = 0
-    resend_ns: int = 0
-    cold_share: float = 0.1
-    ramp_ns: int = 20_000_000_000
-    overload_factor: float = 1.0
-    fall_ns: int = 1_000_000_000
-    max_attempts: int = 1
-    max_retry_advice_ns: int = 0  # 0: callers are told no time to come back
-    may_probe: bool = False
-    may_message: bool = False
-    may_recall: bool = False
-    says_wait: bool = False
-    advice: bool = False
-    list_on_request: bool = False
-    ask_list_every_ns: int = 10_000_000_000
+    own_exchange: int | None = None  # exchange number of the switch where this gatekeeper runs
+    shape: str = "mesh"  # of the network: "mesh" or "pools"
+    gatekeepers: int = 1  # number of gatekeepers in the tier, this one included
+    ordinal: int = 0  # number of this gatekeeper among its peers; not an exchange number
+    tick_ns: int = 5_000_000  # time step in which the module counts its checks
+    release_delay_ns: int = 0  # rule 5: wait after an attempt that may still hold circuits, before the next
+    resend_ns: int = 0  # an unanswered set-up is sent again after this; bounds the delay limit; 0: none
+    cold_share: float = 0.1  # rule 4: share of its full rate that all senders may send to a cold switch
+    ramp_ns: int = 20_000_000_000  # rule 4: for this long after its start a switch is cold
+    overload_factor: float = 1.0  # rule 4: full rate of a switch, as a multiple of the rate of answered calls
+    fall_ns: int = 1_000_000_000  # rule 4: window over which the rate to a cold switch is judged
+    max_attempts: int = 1  # attempts for one call
+    max_retry_after_ns: int = 0  # longest time after which callers are told to retry; 0: they are told none
+    may_probe: bool = False  # Probe is available
+    may_message: bool = False  # SendMessage is available
+    may_cancel: bool = False  # CancelAttempt is available
+    refusals_carry_wait: bool = False  # a refusal by a full processor has AttemptEnded.processor_wait_ms
+    via_is_advice: bool = False  # CallOffered.via of a call that is not in transit is an advised tandem
+    list_on_request: bool = False  # the switch list comes after SubscribeSwitchList only
+    list_request_interval_ns: int = 10_000_000_000  # a failed request is repeated after a quarter of it
 
     def __post_init__(self) -> None:
-        """Impossible settings are named at once, not met in the middle of a day."""
+        """Reject impossible settings at once, rather than when a decision first needs them."""
         if self.shape not in ("mesh", "pools"):
-            raise ValueError(f"shape: unknown value {self.shape!r}")
+            raise ValueError(f"shape: expected 'mesh' or 'pools', not {self.shape!r}")
         if self.shape == "mesh" and self.own_exchange is None:
-            raise ValueError("own_exchange: a mesh needs the number of the own exchange")
-        if self.softswitches < 1 or not self.classes:
-            raise ValueError("softswitches, classes: at least one of each is needed")
+            raise ValueError("own_exchange: shape 'mesh' needs the exchange number of the own switch")
+        if self.gatekeepers < 1 or not self.classes:
+            raise ValueError("gatekeepers, classes: at least one of each is needed")
 
 
 @dataclass(slots=True, frozen=True)
-class Exchange:
-    exchange_id: int
-    number: int
-    state: ExchangeState
+class CarrierSwitch:
+    """An entry of the switch list. Several entries may have the same exchange number."""
+
+    switch_id: int  # chosen by the gatekeeper, and kept while the switch is listed
+    exchange_number: int
+    state: SwitchState
     zone: str = ""
     started_ns: int | None = None  # last processor start; None: long ago
 
 
 @dataclass(slots=True, frozen=True)
-class Report:
-    """Free circuits and size of the own group toward an exchange, then its processor's late figures."""
+class LoadReport:
+    """Circuits of the own trunk group toward a switch, and the load of the switch's processor a moment ago."""
 
-    free: float | None = None
-    size: float | None = None
-    queue: float | None = None
-    busy: float | None = None  # share of the processor
-    wait_ms: float | None = None
-    takes_per_s: float | None = None  # new set-ups a second it can take from all senders
-    hold_back: float | None = None  # share of new set-ups it asks each sender to hold back
+    free: float | None = None  # free circuits of the group
+    size: float | None = None  # circuits of the group
+    queue: float | None = None  # set-ups that wait for the processor
+    utilization: float | None = None  # share of the processor that is in use, 0 to 1
+    latency_ms: float | None = None  # time that a set-up waits for the processor
+    capacity_per_s: float | None = None  # new set-ups a second that it can take from all senders
+    hold_back_share: float | None = None  # share of new set-ups that it asks each sender to hold back, 0 to 1
 
 
 @dataclass(slots=True, frozen=True)
-class ExchangeList:
-    kind: ListKind
-    exchanges: tuple[Exchange, ...] = ()
+class SwitchList:
+    kind: SwitchListKind
+    switches: tuple[CarrierSwitch, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class CallOffered:
+    """A caller requests a call. Unless an attempt is answered, the module must Refuse or Fail it by expires_ns."""
+
     call_id: int
     class_name: str
-    expires_ns: int  # when the caller gives this try up
+    expires_ns: int  # when the caller gives up this try
     destination: int  # exchange number
-    circuits: float = 1
-    number: str = ""  # the number called
-    via: int | None = None  # in transit: exchange number of the sender; else a centre's advice
-    in_transit: bool = False
-    redial: bool = False
-    was_cut: bool = False
+    circuits: float = 1  # circuits that the call takes
+    called_number: str = ""  # the number called
+    via: int | None = None  # exchange number: in transit of the sender, else of a tandem advised by a centre
+    in_transit: bool = False  # sent by another gatekeeper: this one is the tandem
+    redial: bool = False  # the caller marked it as another try of a call that was refused or failed
+    was_cut: bool = False  # another try of a call that had been answered and was then cut
 
 
 @dataclass(slots=True, frozen=True)
-class CallStands:
+class CallAnswered:
     call_id: int
-    attempt: int
-    exchange_id: int
-    elapsed_ns: int
+    attempt: int  # number of the attempt, from 0
+    switch_id: int
+    elapsed_ns: int  # from the set-up to the answer
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
+    """An attempt ended, before or after its answer."""
+
     call_id: int
-    attempt: int
-    exchange_id: int
+    attempt: int  # number of the attempt, from 0
+    switch_id: int
     outcome: Outcome
-    elapsed_ns: int = 0
-    final: bool = False  # the caller has the answer; nothing more is owed
+    elapsed_ns: int = 0  # since the set-up
+    final: bool = False  # the caller has its final answer; no further decision is needed
     cause: Cause | None = None
-    wait_ms: int = 0  # told by a full processor where says_wait is set
-    report: Report | None = None
+    processor_wait_ms: int = 0  # reported by a full processor where Settings.refusals_carry_wait is set
+    report: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class CallGone:
+class CallAbandoned:
+    """The call needs no further decision: its caller has left, or has had its final answer."""
+
     call_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class GroupReport:
-    """A probe's answer, or (unasked) a change of the own group toward an exchange."""
+    """The answer to a probe, or, without one, a change of the own trunk group toward a switch."""
 
-    exchange_id: int
+    switch_id: int
     outcome: Outcome
-    elapsed_ns: int = 0
-    report: Report | None = None
+    elapsed_ns: int = 0  # since the probe
+    report: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    sender: int  # its ordinal
+    """A message that another gatekeeper sent with SendMessage."""
+
+    sender: int  # ordinal of the peer
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """From now on these hold. Shape, own exchange, ordinal and number of softswitches stay as they were."""
+    """New settings, in force from now on.
+
+    Shape, own exchange number, ordinal and number of gatekeepers must be those of the settings before.
+    """
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
-class AvoidedAsked:
-    """Which exchanges get no calls now? The one action in answer is Avoided."""
+class AvoidedSwitchesQuery:
+    """Asks which switches get no calls at the moment. The only action in response is AvoidedSwitches."""
 
 
 @dataclass(slots=True, frozen=True)
 class TimerDue:
-    token: int
+    token: int  # of the SetTimer
 
 
 Event = (
-    ExchangeList
+    SwitchList
     | CallOffered
-    | CallStands
+    | CallAnswered
     | AttemptEnded
-    | CallGone
+    | CallAbandoned
     | GroupReport
     | PeerMessage
     | SettingsChanged
-    | AvoidedAsked
+    | AvoidedSwitchesQuery
     | TimerDue
 )
 
 
 @dataclass(slots=True, frozen=True)
 class SetUp:
+    """Start an attempt. It is answered with CallAnswered or AttemptEnded."""
+
     call_id: int
-    exchange_id: int
-    time_out_ns: int = 0  # 0: until the caller gives up
+    switch_id: int
+    timeout_ns: int = 0  # 0: until the caller gives up
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
+    """Final answer: there is no room, and the caller may try again."""
+
     call_id: int
-    retry_in_ns: int = 0
+    retry_after_ns: int = 0  # 0: the caller is told no time
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
+    """Final answer: the call failed. It may have run, so that the caller must not be invited to try again."""
+
     call_id: int
 
 
 @dataclass(slots=True, frozen=True)
-class Recall:
+class CancelAttempt:
     call_id: int
-    attempt: int
+    attempt: int  # number of the attempt, from 0
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
+    """Ask for TimerDue with this token at a time."""
+
     token: int
     at_ns: int
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    exchange_id: int
+    """Ask a switch for its load. It is answered with GroupReport."""
+
+    switch_id: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -257,13 +289,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskList:
-    """Subscribe to changes of the exchange list."""
+class SubscribeSwitchList:
+    """Subscribe to changes of the switch list."""
 
 
 @dataclass(slots=True, frozen=True)
-class Avoided:
-    exchange_ids: tuple[int, ...]
+class AvoidedSwitches:
+    switch_ids: tuple[int, ...]
 
 
 @dataclass(slots=True, frozen=True)
@@ -271,4 +303,15 @@
     text: str
 
 
-Action = SetUp | Refuse | Fail | Recall | SetTimer | Probe | SendMessage | AskList | Avoided | Log
+Action = (
+    SetUp
+    | Refuse
+    | Fail
+    | CancelAttempt
+    | SetTimer
+    | Probe
+    | SendMessage
+    | SubscribeSwitchList
+    | AvoidedSwitches
+    | Log
+)
--- a/tansyspur/net/__init__.py
+++ b/tansyspur/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wires: JSON lines from callers, SIP to carrier switches, the command channel, the peers."""
+"""Network protocols: JSON lines from callers, SIP to carrier switches, the command channel, other gatekeepers."""
--- a/tansyspur/net/channel.py
+++ b/tansyspur/net/channel.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from tansyspur import interface as face
-from tansyspur.core.figures import Figures
-from tansyspur.core.ports import Listing
+from tansyspur import interface
+from tansyspur.core.metrics import Metrics
+from tansyspur.core.ports import SwitchListing
 from tansyspur.net.framing import Chunks
 from tansyspur.net.link import Link
-from tansyspur.net.peers import split
+from tansyspur.net.peers import parse_address
 
 SILENT_S = 2.5  # a cursor comes each second; what is told during a longer silence must be known 4 s after it
 LONGEST_EVENT = 256 * 1024  # a whole list is one event, and may be longer than other messages
@@ -19,17 +19,17 @@
 REDIAL_S = 0.25
 STEADY_GAP_S = 3.0  # a longer time without a line shows that discovery may have missed something
 STATES = {
-    "up": face.ExchangeState.IN_SERVICE,
-    "draining": face.ExchangeState.DRAINING,
-    "removed": face.ExchangeState.GONE,
+    "up": interface.SwitchState.IN_SERVICE,
+    "draining": interface.SwitchState.DRAINING,
+    "removed": interface.SwitchState.GONE,
 }
 
 Log = Callable[..., None]
 Spawn = Callable[[Coroutine[Any, Any, None], str], asyncio.Task[None]]
-OnList = Callable[[face.ListKind, list[Listing]], None]
+OnList = Callable[[interface.SwitchListKind, list[SwitchListing]], None]
 
 
-def parse_listing(row: Any) -> Listing:
+def parse_listing(row: Any) -> SwitchListing:
     """One entry; a ValueError names what is wrong with it."""
     if not isinstance(row, dict):
         raise ValueError("an entry is not an object")
@@ -41,24 +41,24 @@
         raise ValueError(f"entry {name} has an unknown status")
     if not isinstance(address, str) or not address.rpartition(":")[2].isdigit():
         address = ""
-    if not address and state is not face.ExchangeState.GONE:
+    if not address and state is not interface.SwitchState.GONE:
         raise ValueError(f"entry {name} has an unusable address")
     since = row.get("since_ms") or 0
     started_ns = int(since * 1_000_000) if isinstance(since, int | float) and since > 0 else None
     zone = row.get("zone")
-    return Listing(name, address, group, state, zone if isinstance(zone, str) else "", started_ns)
+    return SwitchListing(name, address, group, state, zone if isinstance(zone, str) else "", started_ns)
 
 
 class Channel:
     def __init__(
-        self, address: str | None, on_list: OnList, spawn: Spawn, log: Log, figures: Figures
+        self, address: str | None, on_list: OnList, spawn: Spawn, log: Log, metrics: Metrics
     ) -> None:
-        self.address, self.figures = address, figures
+        self.address, self.metrics = address, metrics
         self.on_list, self.spawn, self.log = on_list, spawn, log
         self.cursor = 0
         self.gap_at = -1  # the cursor at which an event was missing the last time
         self.task: asyncio.Task[None] | None = None
-        self.current = asyncio.Event()  # the channel has told a number that we have reached
+        self.caught_up = asyncio.Event()  # the channel has told a number that we have reached
         self.lost_at: float | None = None  # since when there is no connection
         self.dials = 0  # that failed since then
         self.heard_at = -math.inf  # the last line
@@ -68,7 +68,7 @@
         if self.address:
             self.task = self.spawn(self.run(self.address), "command channel")
 
-    def move(self, address: str | None) -> None:
+    def change_address(self, address: str | None) -> None:
         """The channel is elsewhere from now on; the new one is asked for what comes after our cursor."""
         if address == self.address:
             return
@@ -77,11 +77,11 @@
             self.task.cancel()  # also a dial or a pause; nothing is awaited between an event and its cursor
         self.start()
 
-    def known(self, known: dict[str, Any]) -> None:
+    def load_known_events(self, known_events: dict[str, Any]) -> None:
         """What the configuration already holds."""
-        for event in known.get("cmds") or []:
+        for event in known_events.get("cmds") or []:
             self._event(event)
-        cursor = known.get("cursor")
+        cursor = known_events.get("cursor")
         self.cursor = max(self.cursor, cursor if isinstance(cursor, int) else 0)
 
     def _event(self, event: Any) -> None:
@@ -103,7 +103,10 @@
                 rows.append(parse_listing(entry))
             except ValueError as error:
                 self.log("warning", "channel", str(error), cursor=cursor)
-        self.on_list(face.ListKind.WHOLE if nodes.get("snapshot") else face.ListKind.CHANGES, rows)
+        self.on_list(
+            interface.SwitchListKind.COMPLETE if nodes.get("snapshot") else interface.SwitchListKind.CHANGES,
+            rows,
+        )
 
     @property
     def steady_since(self) -> float | None:
@@ -130,7 +133,7 @@
         if isinstance(row, dict):
             self._event(row)
             if "nodes" not in row:
-                self.current.set()
+                self.caught_up.set()
 
     def _no_gap(self, told: int) -> None:
         """Guards against an event that was lost on the way: it is asked for again, once. A channel that has
@@ -144,7 +147,7 @@
         while True:
             try:
                 async with asyncio.timeout(DIAL_S):
-                    reader, writer = await asyncio.open_connection(*split(address))
+                    reader, writer = await asyncio.open_connection(*parse_address(address))
             except (TimeoutError, OSError) as error:
                 self._not_reached(address, error)
                 await asyncio.sleep(REDIAL_S)
@@ -191,7 +194,7 @@
             ended = repr(error)
         finally:
             link.abort()
-        self.figures.channel_losses += 1
+        self.metrics.channel_losses += 1
         if self.lost_at is None:
             self.lost_at = link.loop.time()
         self.log("notice", "channel", f"connection ended: {ended}", link=link.number, cursor=self.cursor)
--- a/tansyspur/net/console.py
+++ b/tansyspur/net/console.py
@@ -5,8 +5,8 @@
 import re
 from collections.abc import Callable
 
-from tansyspur.core.figures import Delivery
 from tansyspur.core.gatekeeper import Gatekeeper
+from tansyspur.core.metrics import Delivery
 from tansyspur.core.ports import EndReason
 
 LONGEST_CALL = 256
@@ -23,25 +23,25 @@
 
 def statsd(gatekeeper: Gatekeeper) -> list[str]:
     """The figures of this moment as statsd lines: counters (c) since the start, and gauges (g)."""
-    figures = gatekeeper.figures
+    metrics = gatekeeper.metrics
     counters: dict[str, int] = {}
-    for verdict, counts in figures.verdicts.items():
+    for verdict, counts in metrics.verdicts.items():
         for class_name, count in counts.items():
             counters[f"{verdict.value}.{NO_NAME.sub('_', class_name)}"] = count
-    counters["backend_calls"] = figures.attempts
-    counters["reconfig_ok"], counters["reconfig_failed"] = figures.reloads, figures.bad_reloads
+    counters["backend_calls"] = metrics.attempts
+    counters["reconfig_ok"], counters["reconfig_failed"] = metrics.reloads, metrics.rejected_reloads
     for reason in EndReason:
-        counters[f"call_ends.{reason.value}"] = figures.call_ends[reason]
+        counters[f"call_ends.{reason.value}"] = metrics.call_ends[reason]
     for delivery in Delivery:
-        counters[f"end_deliveries.{delivery.value}"] = figures.deliveries[delivery]
-    counters["switch_losses"] = figures.switch_losses
-    counters["channel_losses"] = figures.channel_losses
+        counters[f"end_deliveries.{delivery.value}"] = metrics.deliveries[delivery]
+    counters["switch_losses"] = metrics.switch_losses
+    counters["channel_losses"] = metrics.channel_losses
     gauges = {
         "inflight": len(gatekeeper.calls),
-        "standing": sum(call.stands for call in gatekeeper.calls.values()),
-        "hosts_unreached": sum(not switch.reached for switch in gatekeeper.switches.values()),
-        "hosts_listed": len(gatekeeper.listed),
-        "hosts_down": len(gatekeeper.avoided()),
+        "standing": sum(call.standing for call in gatekeeper.calls.values()),
+        "hosts_unreached": sum(not switch.reachable for switch in gatekeeper.switches.values()),
+        "hosts_listed": len(gatekeeper.listings),
+        "hosts_down": len(gatekeeper.avoided_switches()),
     }
     lines = [f"{PREFIX}.{name}:{value}|c" for name, value in counters.items()]
     return lines + [f"{PREFIX}.{name}:{value}|g" for name, value in gauges.items()]
@@ -111,7 +111,7 @@
         return known() if known else f"-ERR unknown call; there are {', '.join(self.calls)}\n"
 
     def _status(self) -> str:
-        state = self.gatekeeper.service
+        state = self.gatekeeper.service_state
         return f"{'+OK' if self.gatekeeper.ready else '-ERR'} {state}\n"
 
     def _metrics(self) -> str:
@@ -127,4 +127,4 @@
         if self.gatekeeper.ending:
             return "-ERR this process is ending\n"
         self.gatekeeper.resume()
-        return f"+OK {self.gatekeeper.service}\n"
+        return f"+OK {self.gatekeeper.service_state}\n"
--- a/tansyspur/net/handover.py
+++ b/tansyspur/net/handover.py
@@ -23,17 +23,17 @@
 Spawn = Callable[[Coroutine[Any, Any, None], str], asyncio.Task[None]]
 
 
-def place(name: str) -> Path | None:
+def socket_path(name: str) -> Path | None:
     """Where the process of this name is asked; none without a folder of our own."""
     folder = os.environ.get("TMPDIR")
     return Path(folder, f"tansyspur-{name.replace('/', '_')}.sock") if folder else None
 
 
-def listener(host: str, port: int, kind: int = socket.SOCK_STREAM) -> socket.socket:
+def bind_socket(host: str, port: int, socket_type: int = socket.SOCK_STREAM) -> socket.socket:
     """A bound socket. It may be shared, for a predecessor that holds the address and does not answer."""
-    made = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, kind)
+    made = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket_type)
     try:
-        if kind == socket.SOCK_STREAM:
+        if socket_type == socket.SOCK_STREAM:
             made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         made.setblocking(False)
@@ -44,7 +44,7 @@
     return made
 
 
-def ask(path: Path, log: Log) -> tuple[Sockets, socket.socket] | None:
+def request_sockets(path: Path, log: Log) -> tuple[Sockets, socket.socket] | None:
     """The predecessor's sockets and the connection to it; None where nobody answers.
 
     It blocks, as nothing else runs yet.
@@ -79,13 +79,13 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        hear: Callable[[dict[str, Any]], None],
+        on_message: Callable[[dict[str, Any]], None],
     ) -> None:
-        self.reader, self.writer, self.hear = reader, writer, hear
+        self.reader, self.writer, self.on_message = reader, writer, on_message
         self.serving = False  # it has said that it serves
         self.gone = asyncio.Event()
 
-    def tell(self, kind: str, **more: Any) -> None:
+    def send(self, kind: str, **more: Any) -> None:
         if not self.writer.is_closing():
             self.writer.write(json.dumps({"type": kind, **more}).encode() + b"\n")
 
@@ -95,7 +95,7 @@
                 while line := await self.reader.readline():
                     row = json.loads(line)
                     self.serving = self.serving or row["type"] == "serving"
-                    self.hear(row)
+                    self.on_message(row)
         finally:
             self.gone.set()
             self.writer.close()
@@ -108,12 +108,17 @@
         self,
         path: Path,
         sockets: Sockets,
-        hear: Callable[[Partner, dict[str, Any]], None],
-        changed: Callable[[], None],
+        on_message: Callable[[Partner, dict[str, Any]], None],
+        on_successor_changed: Callable[[], None],
         spawn: Spawn,
         log: Log,
     ) -> None:
-        self.path, self.sockets, self.hear, self.changed = path, sockets, hear, changed
+        self.path, self.sockets, self.on_message, self.on_successor_changed = (
+            path,
+            sockets,
+            on_message,
+            on_successor_changed,
+        )
         self.spawn, self.log = spawn, log
         self.successor: Partner | None = None
         self.server: asyncio.Server | None = None
@@ -149,14 +154,14 @@
         finally:
             line.close()
         self.log("notice", "handover", "a successor starts")
-        partner = self.successor = Partner(reader, writer, lambda row: self.hear(partner, row))
-        self.changed()
+        partner = self.successor = Partner(reader, writer, lambda row: self.on_message(partner, row))
+        self.on_successor_changed()
         try:
             await partner.run()
         finally:
             self.successor = None
             self.log("notice", "handover", "the successor has gone")
-            self.changed()
+            self.on_successor_changed()
 
     def close(self) -> None:
         if self.server:
--- a/tansyspur/net/jsonlines.py
+++ b/tansyspur/net/jsonlines.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tansyspur.core.figures import Delivery, Verdict
 from tansyspur.core.gatekeeper import Call, Gatekeeper
+from tansyspur.core.metrics import Delivery, Verdict
 from tansyspur.core.ports import INVALID_ELEMENT, NORMAL_CLEARING, TEMPORARY_FAILURE, Offer
 from tansyspur.net.framing import Chunks, FramingError
 from tansyspur.net.link import Link
@@ -81,9 +81,9 @@
     return Offer(
         wire_id=row["id"],
         class_name=_word(fields.get("class"), "class", WORDS),
-        left_ms=_figure(fields.get("left"), "left"),
+        remaining_ms=_figure(fields.get("left"), "left"),
         destination=_whole(extras.get("dest"), "dest"),
-        number=_word(fields.get("key"), "key", TOKEN),
+        called_number=_word(fields.get("key"), "key", TOKEN),
         description=sdp,
         circuits=_figure(extras.get("width", 1), "width"),
         via=via if via >= 0 else None,
@@ -110,8 +110,12 @@
             self.front.forget(self)
         return not self.link.closed
 
-    def refuse(self, cause: int, wait_ms: int) -> None:
-        self._final(line("release", self.wire_id, {"wait": str(wait_ms)} if wait_ms else {}, cause=cause))
+    def refuse(self, cause: int, retry_after_ms: int) -> None:
+        self._final(
+            line(
+                "release", self.wire_id, {"wait": str(retry_after_ms)} if retry_after_ms else {}, cause=cause
+            )
+        )
 
     def fail(self, cause: int) -> None:
         self._final(line("release", self.wire_id, cause=cause))
@@ -141,12 +145,12 @@
 
 class JsonLinesFront:
     def __init__(self, gatekeeper: Gatekeeper, log: Log, most_links: int, listening: socket.socket) -> None:
-        gatekeeper.on_pause.append(self.paused)
+        gatekeeper.pause_listeners.append(self.paused)
         self.gatekeeper, self.log, self.most_links = gatekeeper, log, most_links
         self.listening = listening
         # To the other process, where two share the address: what is said of a call that is not ours.
-        self.elsewhere: Callable[..., None] | None = None
-        self.hands_over = False  # the other process has the callers now
+        self.send_to_other_process: Callable[..., None] | None = None
+        self.handed_over = False  # the other process has the callers now
         self.resumed_at = -math.inf  # since when callers come; while they are sent away, never
         self.sweeper: asyncio.TimerHandle | None = None
         self.last_call: asyncio.TimerHandle | None = None
@@ -162,7 +166,7 @@
         self.unheard: dict[str, tuple[float, Link, bytes]] = {}  # releases written of late, by id
         self.server: asyncio.Server | None = None
 
-    async def accept(self) -> None:
+    async def start_accepting(self) -> None:
         """Take connections from now on. It is a copy of the socket that is served and closed: the queue
         stays, for another process or for a second start."""
         if self.server:
@@ -180,7 +184,7 @@
             self.server.close()
             self.server = None
 
-    def limit(self, most_links: int) -> None:
+    def set_connection_limit(self, most_links: int) -> None:
         """So many connections from now on; those that are missed least are closed."""
         self.most_links = most_links
         while len(self.links) > most_links and self._make_room():
@@ -191,15 +195,15 @@
     def paused(self, paused: bool) -> None:
         """An operator sends the callers elsewhere, or has them back. The front of the platform must have
         looked away first: who is sent off sooner comes back here."""
-        self.stop_sending_away()
+        self.stop_closing_connections()
         loop = asyncio.get_running_loop()
         self.resumed_at = math.inf if paused else loop.time()
         if paused:
             self.keep_until = loop.time() + KEEP_LAST_S
-            self.sweeper = loop.call_later(LOOKED_AWAY_S, self.send_away, True)
-            self.last_call = loop.call_later(LAST_CALL_S, self.send_off)
+            self.sweeper = loop.call_later(LOOKED_AWAY_S, self.close_idle_connections, True)
+            self.last_call = loop.call_later(LAST_CALL_S, self.close_connections)
 
-    def send_off(self) -> None:
+    def close_connections(self) -> None:
         """Those that are never without an open set-up: fail what is open rather than keep them."""
         busy = {leg.link for leg in self.legs.values() if not leg.stands}
         carrying = self._carrying()
@@ -213,7 +217,7 @@
         """The connections that stay, while callers are sent away, until the ends of their calls are told."""
         return {leg.link for leg in self.legs.values() if leg.stands} if self.keeps_standing else set()
 
-    def send_away(self, keeps_standing: bool = False) -> None:
+    def close_idle_connections(self, keeps_standing: bool = False) -> None:
         """Close each connection as soon as its set-ups are answered, until told to stop.
 
         Guards against closing under a set-up: one that crosses the close is brought again by its caller. And
@@ -234,13 +238,13 @@
             if link not in busy and not young and link not in carrying:
                 # In the next turn, when what has been read of it has been taken.
                 loop.call_soon(self._leave_idle, link)
-        self.sweeper = loop.call_later(SWEEP_S, self.send_away, keeps_standing)
+        self.sweeper = loop.call_later(SWEEP_S, self.close_idle_connections, keeps_standing)
 
-    def send_away_for_good(self) -> None:
+    def close_idle_connections_until_exit(self) -> None:
         """Until the end of a process that ends alone: ends of calls must find a connection to its end."""
-        self.stop_sending_away()  # of a pause, which ends what is open later than the kill
+        self.stop_closing_connections()  # of a pause, which ends what is open later than the kill
         self.keep_until = math.inf
-        self.send_away(keeps_standing=True)
+        self.close_idle_connections(keeps_standing=True)
 
     def _leave_idle(self, link: Link) -> None:
         """Guards against closing on a set-up that has come and is not read yet."""
@@ -248,7 +252,7 @@
         if not is_open and not link.unread and not link.unfinished:
             link.leave()
 
-    def stop_sending_away(self) -> None:
+    def stop_closing_connections(self) -> None:
         for timer in (self.sweeper, self.last_call):
             if timer:
                 timer.cancel()
@@ -258,21 +262,21 @@
 
     # What another process says of our calls, or we of its
 
-    def heard_elsewhere(self, row: dict[str, Any]) -> None:
+    def release_from_other_process(self, row: dict[str, Any]) -> None:
         """A release that reached the other process."""
         if leg := self.legs.get(row["id"]):
             self._left(leg, row["cause"])
 
-    def release_elsewhere(self, row: dict[str, Any]) -> None:
+    def release_for_other_process(self, row: dict[str, Any]) -> None:
         """The end of the other's call, for which it has no connection."""
         self._over(row["id"])
         self.release_anywhere(row["id"], None, line("release", row["id"], cause=row["cause"]))
 
-    def pass_owed(self) -> None:
+    def forward_pending_releases(self) -> None:
         """Releases that found no connection here, to the process that has them now."""
-        while self.elsewhere and self.hands_over and self.owed:
+        while self.send_to_other_process and self.handed_over and self.owed:
             wire_id, owed = self.owed.popitem()
-            self.elsewhere("release", id=wire_id, cause=json.loads(owed.message)["cause"])
+            self.send_to_other_process("release", id=wire_id, cause=json.loads(owed.message)["cause"])
 
     def release_anywhere(self, wire_id: str, link: Link | None, message: bytes) -> None:
         """On this connection if it lives, else on any, else on the next one."""
@@ -291,8 +295,8 @@
             self._note_delivery(delivery, wire_id, live)
         elif len(self.owed) < MOST_OWED:
             self.owed[wire_id] = Owed(now, message)
-            self._note_delivery(Delivery.OWED, wire_id)
-            self.pass_owed()
+            self._note_delivery(Delivery.PENDING, wire_id)
+            self.forward_pending_releases()
         else:
             self._note_delivery(Delivery.EXPIRED, wire_id)
 
@@ -300,7 +304,7 @@
         self, delivery: Delivery, wire_id: str, link: Link | None = None, late_s: float = 0.0
     ) -> None:
         """Count how the end of a call was told; whatever is not the plain way is logged."""
-        self.gatekeeper.figures.deliveries[delivery] += 1
+        self.gatekeeper.metrics.deliveries[delivery] += 1
         level = "debug" if delivery is Delivery.WRITTEN else "info"
         number = link.number if link else ""
         self.log(level, "release", delivery.value, call=wire_id, link=number, late_ms=int(late_s * 1000))
@@ -323,7 +327,7 @@
             if link in self.asked:
                 del self.owed[wire_id]
                 self.unheard[wire_id] = (now, link, owed.message)
-                self._note_delivery(Delivery.PAID, wire_id, link, now - owed.at)
+                self._note_delivery(Delivery.DELIVERED_LATE, wire_id, link, now - owed.at)
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if len(self.links) >= self.most_links and not self._make_room():
@@ -428,7 +432,7 @@
             # Guards against answering a test with what is owed: to the platform's front anything but a pong
             # is a no, and the callers who should be told would never come back.
             self._not_new(link)
-            link.write(line("pong", wire_id, cause=1 if self.gatekeeper.admits else 0))
+            link.write(line("pong", wire_id, cause=1 if self.gatekeeper.accepts_callers else 0))
         elif kind == "released":
             self.unheard.pop(wire_id, None)
             self.owed.pop(wire_id, None)
@@ -447,13 +451,13 @@
             self._over(wire_id)
             fields = row.get("fields")
             class_name = fields.get("class") if isinstance(fields, dict) else None
-            self.gatekeeper.figures.ended(Verdict.FAILURE, str(class_name))
+            self.gatekeeper.metrics.count_verdict(Verdict.FAILURE, str(class_name))
             return link.write(line("release", wire_id, cause=INVALID_ELEMENT))
         self.asked.add(link)
         self._pay(link)
         leg = self.legs[wire_id] = JsonLeg(self, link, wire_id)
         if link in self._carrying():
-            return self.gatekeeper.turn_away(offer, leg)
+            return self.gatekeeper.reject(offer, leg)
         leg.call = self.gatekeeper.offer(offer, leg)
 
     def _release(self, link: Link, row: dict[str, Any]) -> None:
@@ -461,8 +465,8 @@
         if leg is None:
             # A release that crossed ours is heard; one of a call that never was is an error, and said so.
             known = row["id"] in self.over
-            if not known and self.elsewhere and isinstance(row.get("cause"), int):
-                self.elsewhere("release", id=row["id"], cause=row["cause"])
+            if not known and self.send_to_other_process and isinstance(row.get("cause"), int):
+                self.send_to_other_process("release", id=row["id"], cause=row["cause"])
                 known = True
             reply = (
                 line("released", row["id"]) if known else line("release", row["id"], cause=INVALID_REFERENCE)
@@ -477,4 +481,4 @@
         if not leg.stands:
             self.forget(leg)  # no answer is owed any more
         if leg.call:
-            leg.call.left(cause)
+            leg.call.caller_left(cause)
--- a/tansyspur/net/peers.py
+++ b/tansyspur/net/peers.py
@@ -10,7 +10,7 @@
 Log = Callable[..., None]
 
 
-def split(address: str) -> tuple[str, int]:
+def parse_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -19,9 +19,9 @@
     def __init__(
         self, peers: list[str], everyone: str | None, on_message: Callable[[int, bytes], None], log: Log
     ):
-        self.addresses = [split(address) for address in peers]
+        self.addresses = [parse_address(address) for address in peers]
         self.ordinals = {address: ordinal for ordinal, address in enumerate(self.addresses)}
-        self.everyone = split(everyone) if everyone else None
+        self.everyone = parse_address(everyone) if everyone else None
         self.on_message, self.log = on_message, log
         self.transport: asyncio.DatagramTransport | None = None
 
--- a/tansyspur/net/sip.py
+++ b/tansyspur/net/sip.py
@@ -7,10 +7,10 @@
 import time
 from collections.abc import Callable
 
-from tansyspur import interface as face
-from tansyspur.core.figures import Figures
+from tansyspur import interface
 from tansyspur.core.lease import LATE_TIMER_S, StandingLeases
-from tansyspur.core.ports import NORMAL_CLEARING, Ended, EndReason, SetUpRequest, Stood, SwitchSignal
+from tansyspur.core.metrics import Metrics
+from tansyspur.core.ports import NORMAL_CLEARING, Answered, EndReason, LegEnded, SetUpRequest, SwitchSignal
 from tansyspur.net.framing import Chunks, FramingError
 from tansyspur.net.link import Link
 from tansyspur.net.releases import OwedReleases
@@ -30,18 +30,18 @@
 FIRST_REDIAL_S, STANDING_REDIAL_S, LONGEST_REDIAL_S = 0.1, 0.4, 2.0
 REFRESH_S = 4.0  # between connections that are opened for releases which may have been lost
 CAUSES = {
-    "all_trunks_busy": face.Cause.NO_CIRCUIT,
-    "via_said_no": face.Cause.TURNED_BACK,
-    "far_cpu_full": face.Cause.FAR_PROCESSOR_FULL,
-    "cpu_full": face.Cause.PROCESSOR_FULL,
-    "number_busy": face.Cause.NUMBER_BUSY,
+    "all_trunks_busy": interface.Cause.NO_CIRCUIT,
+    "via_said_no": interface.Cause.TURNED_BACK,
+    "far_cpu_full": interface.Cause.FAR_PROCESSOR_FULL,
+    "cpu_full": interface.Cause.PROCESSOR_FULL,
+    "number_busy": interface.Cause.NUMBER_BUSY,
 }
 REFUSALS = {
-    503: face.Outcome.NO_ROOM,
-    486: face.Outcome.FAULT,
-    500: face.Outcome.FAULT,
-    480: face.Outcome.NOT_SENT,
-    504: face.Outcome.CUT,
+    503: interface.Outcome.NO_ROOM,
+    486: interface.Outcome.FAULT,
+    500: interface.Outcome.FAULT,
+    480: interface.Outcome.NOT_SENT,
+    504: interface.Outcome.CUT,
 }
 
 Log = Callable[..., None]
@@ -65,7 +65,7 @@
         self.sent_at, self.sent_ns = 0.0, 0
         self.stands = self.over = False
         self.dial_timer: asyncio.TimerHandle | None = None
-        self.expires_at = switch.loop.time() + order.wait_ms / 1000
+        self.expires_at = switch.loop.time() + order.timeout_ms / 1000
 
     @property
     def adrift(self) -> bool:
@@ -74,7 +74,7 @@
 
     def tell(self, signal: SwitchSignal) -> None:
         if not self.over:
-            self.over = isinstance(signal, Ended)
+            self.over = isinstance(signal, LegEnded)
             self._tell(signal)
 
     def send(self, link: Link) -> None:
@@ -85,18 +85,18 @@
             return
         if not self.may_send():
             self.switch.forget(self)
-            return self.tell(Ended(face.Outcome.NOT_SENT, reason=EndReason.HELD_BACK))
+            return self.tell(LegEnded(interface.Outcome.NOT_SENT, reason=EndReason.HELD_BACK))
         offer = self.order.offer
         wait_ms = max(1, int((self.expires_at - self.switch.loop.time()) * 1000))
         self.link, self.sent_at, self.sent_ns = link, self.switch.loop.time(), time.time_ns()
         body = offer.description.encode("utf-8", "surrogateescape")
         headers = (f"X-Service: {offer.class_name}", f"X-Setup-Ms: {wait_ms}")
-        invite = request("INVITE", offer.number, self.call_id, INVITE_CSEQ, *headers, body=body)
+        invite = request("INVITE", offer.called_number, self.call_id, INVITE_CSEQ, *headers, body=body)
         link.write(invite, self.written)
 
     def no_route(self) -> None:
         self.switch.forget(self)
-        self.tell(Ended(face.Outcome.NO_ROUTE, reason=EndReason.NO_CONNECTION))
+        self.tell(LegEnded(interface.Outcome.NO_ROUTE, reason=EndReason.NO_CONNECTION))
 
     def cancel(self) -> None:
         if self.over:
@@ -110,7 +110,7 @@
             self.switch.log("warning", "sip", "set-up given up in a stalled buffer", switch=self.switch.name)
             self.link.abort()
         elif self.link:
-            self.link.write(request("CANCEL", self.order.offer.number, self.call_id, INVITE_CSEQ))
+            self.link.write(request("CANCEL", self.order.offer.called_number, self.call_id, INVITE_CSEQ))
             self.switch.gave_up(self.call_id)
 
     def release(self, cause: int) -> None:
@@ -127,14 +127,14 @@
         self,
         name: str,
         address: str,
-        on_report: Callable[[face.Report], None],
+        on_report: Callable[[interface.LoadReport], None],
         log: Log,
         dial_timeout_s: float,
-        figures: Figures,
+        metrics: Metrics,
         discovery_steady_since: Callable[[], float | None],
     ) -> None:
         self.discovery_steady_since = discovery_steady_since
-        self.name, self.on_report, self.log, self.figures = name, on_report, log, figures
+        self.name, self.on_report, self.log, self.metrics = name, on_report, log, metrics
         self.host, _, port = address.rpartition(":")
         self.port = int(port)
         self.dial_timeout_s = dial_timeout_s
@@ -147,7 +147,7 @@
         self.doubted: set[Link] = set()  # for whose calls a new connection was opened since they were asked
         self.asked: dict[Link, float] = {}  # links that owe a sign of life, and since when
         self.given_up: dict[str, None] = {}  # Call-IDs of attempts given up of late: an answer may still come
-        self.probes: dict[str, Callable[[face.Outcome, face.Report | None], None]] = {}
+        self.probes: dict[str, Callable[[interface.Outcome, interface.LoadReport | None], None]] = {}
         self.probe_ids = itertools.count(1)
         self.retired = False
         self.was_reached = False  # when that was last looked at
@@ -161,18 +161,18 @@
         # A release may be lost with its connection: the switch sends it again on the next one that opens.
         self.unheard_since: float | None = None  # a connection under standing calls ended then
         self.dialled_at = -math.inf
-        self.ever_dialled = asyncio.Event()
+        self.first_dial_done = asyncio.Event()
 
     # What the core asks
 
-    def place(
+    def start_attempt(
         self,
         order: SetUpRequest,
         may_send: Callable[[], bool],
-        written: Callable[[], None],
-        tell: Callable[[SwitchSignal], None],
+        on_written: Callable[[], None],
+        notify: Callable[[SwitchSignal], None],
     ) -> SipLeg:
-        leg = SipLeg(self, order, may_send, written, tell)
+        leg = SipLeg(self, order, may_send, on_written, notify)
         self.legs[leg.call_id] = leg
         self.releases.forget(leg.call_id)  # it would release this attempt in place of the one before
         self.given_up.pop(leg.call_id, None)
@@ -185,33 +185,33 @@
             self.wanted.set()
         return leg
 
-    def probe(self, tell: Callable[[face.Outcome, face.Report | None], None]) -> None:
+    def probe(self, notify: Callable[[interface.Outcome, interface.LoadReport | None], None]) -> None:
         link = self._usable()
         if link is None:
-            return tell(face.Outcome.NO_ROUTE, None)
+            return notify(interface.Outcome.NO_ROUTE, None)
         call_id = f"probe-{next(self.probe_ids)}"
-        self.probes[call_id] = tell
-        self.loop.call_later(self.dial_timeout_s, self._probed, call_id, face.Outcome.TIMED_OUT, None)
+        self.probes[call_id] = notify
+        self.loop.call_later(self.dial_timeout_s, self._probed, call_id, interface.Outcome.TIMED_OUT, None)
         link.write(request("OPTIONS", "load", call_id, 1))
 
-    def _probed(self, call_id: str, outcome: face.Outcome, report: face.Report | None) -> None:
+    def _probed(self, call_id: str, outcome: interface.Outcome, report: interface.LoadReport | None) -> None:
         tell = self.probes.pop(call_id, None)
         if tell:
             tell(outcome, report)
 
-    def closed_to_new(self) -> None:
+    def stop_new_attempts(self) -> None:
         for link in list(self.links):
             if link.unsent:
                 link.abort()
         for leg in self.waiting[:]:
             self.forget(leg)
-            leg.tell(Ended(face.Outcome.NOT_SENT, reason=EndReason.HELD_BACK))
+            leg.tell(LegEnded(interface.Outcome.NOT_SENT, reason=EndReason.HELD_BACK))
 
-    def restarted(self, at_ns: int) -> None:
+    def process_restarted(self, at_ns: int) -> None:
         # Guards against calls that stand for ever: the process that held them can send no release.
         for leg in [leg for leg in self.legs.values() if leg.link and leg.sent_ns < at_ns]:
             self.forget(leg)
-            leg.tell(Ended(face.Outcome.CUT, reason=EndReason.SWITCH_RESTARTED))
+            leg.tell(LegEnded(interface.Outcome.CUT, reason=EndReason.SWITCH_RESTARTED))
 
     def retire(self, reason: EndReason = EndReason.SWITCH_REMOVED) -> None:
         """The switch is gone: the calls that stand there are cut, and whatever is out is given up."""
@@ -224,7 +224,7 @@
 
     def close(self) -> None:
         self.retired = True
-        self.ever_dialled.set()  # nobody need wait for it
+        self.first_dial_done.set()  # nobody need wait for it
         self.keeper.cancel()
         if self.lease_timer:
             self.lease_timer.cancel()
@@ -308,14 +308,14 @@
         for leg in legs:
             self.forget(leg)
             self.bye(leg.call_id, NORMAL_CLEARING, None)  # should it live on, it must not keep the call
-            leg.tell(Ended(face.Outcome.CUT, reason=EndReason.SWITCH_SILENT))
+            leg.tell(LegEnded(interface.Outcome.CUT, reason=EndReason.SWITCH_SILENT))
 
     def _wants_fresh_connection(self) -> bool:
         """Whether a release may have been lost that the switch sends again on a new connection only."""
         if self.unheard_since is not None:
             return True
         due = self.loop.time() - self.dialled_at > REFRESH_S
-        return due and self.leases.wants_fresh_connection()
+        return due and self.leases.needs_new_connection()
 
     def _longest_redial_s(self) -> float:
         """Sooner while calls stand: a switch that is back must show it before their leases run out."""
@@ -323,18 +323,18 @@
         return STANDING_REDIAL_S if standing else LONGEST_REDIAL_S
 
     @property
-    def reached(self) -> bool:
+    def reachable(self) -> bool:
         return any(not link.closed for link in self.links)
 
     def _note_reach(self) -> None:
         """Log and count each change between having a connection and having none."""
-        reached = self.reached
+        reached = self.reachable
         if reached is self.was_reached:
             return
         self.was_reached = reached
         standing = sum(leg.stands for leg in self.legs.values())
         if not reached:
-            self.figures.switch_losses += 1
+            self.metrics.switch_losses += 1
             self.lost_at = self.loop.time()
             return self.log(
                 "warning", "sip", "the switch is out of reach", switch=self.name, standing=standing
@@ -356,7 +356,7 @@
             if urgent or (self._wants_fresh_connection() and self.loop.time() >= refresh_at):
                 came_up = await self._dial()
                 redial_s = FIRST_REDIAL_S if came_up else min(self._longest_redial_s(), redial_s * 2)
-                self.ever_dialled.set()
+                self.first_dial_done.set()
                 refresh_at = self.loop.time() + redial_s
                 # Guards against not watching the connections that are in use.
                 wait_s = redial_s if urgent else WATCH_S
@@ -410,7 +410,7 @@
         spoilt = ""
 
         def take(chunks: Chunks) -> bool:
-            self.leases.heard(link, link.heard_at)
+            self.leases.received(link, link.heard_at)
             self.releases.heard(link)
             taken = False
             while not link.closed and (message := parse(chunks)):
@@ -454,14 +454,16 @@
                 # Guards against a call that stands at the switch for nobody: its answer may be what was lost.
                 if not self.retired:
                     self.bye(leg.call_id, NORMAL_CLEARING, None)
-                leg.tell(Ended(face.Outcome.CUT, reason=EndReason.CONNECTION_LOST))
+                leg.tell(LegEnded(interface.Outcome.CUT, reason=EndReason.CONNECTION_LOST))
             self._send_kept_byes()
             self.wanted.set()
 
     def _cut_all(self, reason: EndReason) -> None:
         for leg in list(self.legs.values()):
             self.forget(leg)
-            leg.tell(Ended(face.Outcome.CUT if leg.link else face.Outcome.NO_ROUTE, reason=reason))
+            leg.tell(
+                LegEnded(interface.Outcome.CUT if leg.link else interface.Outcome.NO_ROUTE, reason=reason)
+            )
 
     def gave_up(self, call_id: str) -> None:
         self.given_up[call_id] = None
@@ -471,7 +473,7 @@
     def forget(self, leg: SipLeg) -> None:
         if self.legs.get(leg.call_id) is leg:
             del self.legs[leg.call_id]
-            self.leases.over(leg.call_id)
+            self.leases.call_ended(leg.call_id)
         if leg in self.waiting:
             self.waiting.remove(leg)
 
@@ -522,7 +524,7 @@
         if status < 200:
             return
         if method == "OPTIONS":
-            outcome = face.Outcome.ENDED if status < 300 else face.Outcome.NO_ROOM
+            outcome = interface.Outcome.ENDED if status < 300 else interface.Outcome.NO_ROOM
             return self._probed(message.call_id, outcome, parse_group(message.headers.get("x-group", "")))
         if method != "INVITE":
             return
@@ -546,14 +548,14 @@
             return
         if status < 300:
             leg.stands = True
-            self.leases.stands(leg.call_id, link, link.heard_at)
+            self.leases.call_answered(leg.call_id, link, link.heard_at)
             self._arm_lease_timer()
-            return leg.tell(Stood(stands))
+            return leg.tell(Answered(stands))
         self.forget(leg)
-        outcome = REFUSALS.get(status, face.Outcome.FAULT)
+        outcome = REFUSALS.get(status, interface.Outcome.FAULT)
         cause = CAUSES.get(message.headers.get("x-cause", ""))
         report = parse_group(message.headers.get("x-group", ""))
-        leg.tell(Ended(outcome, cause, report, EndReason.SWITCH_REFUSED))
+        leg.tell(LegEnded(outcome, cause, report, EndReason.SWITCH_REFUSED))
 
     def _released(self, link: Link, message: Message) -> None:
         """The end of a call that stood; it may be told twice."""
@@ -561,14 +563,14 @@
         leg = self.legs.get(message.call_id)
         if leg is None or not leg.stands:
             return  # told again, or it crossed our own release
-        self.leases.released(leg.call_id, link)
+        self.leases.call_released(leg.call_id, link)
         self.forget(leg)
         found = re.search(r"cause\s*=\s*([0-9]{1,3})", message.headers.get("reason", ""))
         cut = found is not None and int(found.group(1)) != 16
         report = parse_group(message.headers.get("x-group", ""))
-        outcome = face.Outcome.CUT if cut else face.Outcome.ENDED
+        outcome = interface.Outcome.CUT if cut else interface.Outcome.ENDED
         reason = EndReason.SWITCH_CUT if cut else EndReason.SWITCH_RELEASED
-        leg.tell(Ended(outcome, None, report, reason))
+        leg.tell(LegEnded(outcome, None, report, reason))
 
     def _reply(self, message: Message) -> bytes:
         kept = [
--- a/tansyspur/net/sip_messages.py
+++ b/tansyspur/net/sip_messages.py
@@ -3,7 +3,7 @@
 import re
 from dataclasses import dataclass
 
-from tansyspur import interface as face
+from tansyspur import interface
 from tansyspur.net.framing import LONGEST, Chunks, FramingError
 from tansyspur.translate import parse_report
 
@@ -68,7 +68,7 @@
     return Message(start, headers, chunks.take(whole)[end + 4 :])
 
 
-def parse_group(text: str) -> face.Report | None:
+def parse_group(text: str) -> interface.LoadReport | None:
     """A report such as 'x0:12;x1:40;queue:3', in the fields the settings name."""
     figures: dict[str, float] = {}
     for pair in text.split(";"):
--- a/tansyspur/planner/__init__.py
+++ b/tansyspur/planner/__init__.py
@@ -1,1 +1,1 @@
-"""What a fleet will do under a load, by the loss formulas; no I/O."""
+"""Forecasts of a fleet's service under a load, by the loss formulas of traffic engineering; no I/O."""
--- a/tansyspur/planner/capture.py
+++ b/tansyspur/planner/capture.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field, replace
 
-from tansyspur.cdr.record import CallRecord, NotARecord, count_of, of_line, read
+from tansyspur.cdr.record import CallRecord, RecordFormatError, parse_count, parse_line, parse_record
 from tansyspur.planner.fleet import CallClass, Load, Stream
 
 LEAST_CALLS = 20  # of a class, to say anything of its holding time
@@ -45,9 +45,9 @@
         if not text.strip():
             continue
         try:
-            line = read(text)
-            row, count = of_line(line), count_of(line)
-        except NotARecord:
+            line = parse_line(text)
+            row, count = parse_record(line), parse_count(line)
+        except RecordFormatError:
             found.spoilt += 1
             continue
         process = (line.host, line.process)
@@ -166,10 +166,10 @@
     for kind in like.classes:
         held = holds.get(kind.name, [])
         if len(held) >= LEAST_CALLS:
-            kind = replace(kind, hold_s=max(1e-3, sum(held) / len(held)))
+            kind = replace(kind, holding_time_s=max(1e-3, sum(held) / len(held)))
         else:
             notes.append(
-                f"{kind.name}: {len(held)} calls ended, too few for a holding time; {kind.hold_s:g} s is kept"
+                f"{kind.name}: {len(held)} calls ended, too few for a holding time; {kind.holding_time_s:g} s is kept"
             )
         classes.append(kind)
     streams = []
@@ -185,7 +185,9 @@
     empty = [w for w in range(count) if not any(calls[w] for calls in counts.values())]
     if empty:
         notes.append(f"no calls at all in the windows {', '.join(map(str, empty))}")
-    load = Load(tuple(lengths), tuple(classes), tuple(streams), like.redial, like.holding, tuple(notes))
+    load = Load(
+        tuple(lengths), tuple(classes), tuple(streams), like.redial, like.holding_distribution, tuple(notes)
+    )
     return Captured(
         load, total_first, total_redials, count,
         sum(one.spoilt for one in read_from.values()), sum(one.missing for one in read_from.values()),
--- a/tansyspur/planner/fleet.py
+++ b/tansyspur/planner/fleet.py
@@ -9,15 +9,15 @@
     """A fleet or a load that cannot be used; the text names the path of each thing that is wrong."""
 
     def __init__(self, troubles: Iterable[str]) -> None:
-        self.troubles = list(troubles)
-        super().__init__("\n".join(self.troubles))
+        self.problems = list(troubles)
+        super().__init__("\n".join(self.problems))
 
 
 @dataclass(slots=True, frozen=True)
 class StoreSwitch:
     name: str
     depot: str
-    rate: float  # set-ups a second that its processor can do
+    setups_per_s: float  # set-ups a second that its processor can do
     queue_limit_s: float = 2.0  # a longer wait turns set-ups away
     other_share: float = 0.0  # of the processor, while other work is on
     other_on_s: float = 3.0
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    attempts: int = 5
-    release_s: float = 0.2
+    max_attempts: int = 5
+    release_delay_s: float = 0.2
     retry_after_s: float = 2.0
-    reports: bool = True
+    fill_reports: bool = True
     cold_share: float = 0.31
     ramp_s: float = 13.0
     overload_factor: float = 3.0
@@ -105,8 +105,8 @@
 @dataclass(slots=True, frozen=True)
 class CallClass:
     name: str
-    hold_s: float
-    aim_s: float
+    holding_time_s: float
+    objective_s: float
     deadline_s: float
     worth: float = 1.0
     late_worth: float = 0.0
@@ -120,15 +120,15 @@
     origin: str
     destination: str
     class_name: str
-    calls: tuple[float, ...]
+    calls_per_s: tuple[float, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Redial:
-    tries: int = 3
+    max_redials: int = 3
     wait_s: float = 1.0
-    patience: float = 0.35  # share of the class's deadline
-    heeds: float = 0.75
+    patience_share: float = 0.35  # share of the class's deadline
+    heed_share: float = 0.75
 
 
 @dataclass(slots=True, frozen=True)
@@ -137,7 +137,7 @@
     classes: tuple[CallClass, ...]
     streams: tuple[Stream, ...]
     redial: Redial = Redial()
-    holding: str = "exponential"
+    holding_distribution: str = "exponential"
     notes: tuple[str, ...] = ()
 
     @property
@@ -145,12 +145,12 @@
         return sum(self.windows_s)
 
     @property
-    def calls(self) -> float:
+    def total_calls(self) -> float:
         """First tries over the whole span."""
         return sum(
             rate * length
             for one in self.streams
-            for rate, length in zip(one.calls, self.windows_s, strict=True)
+            for rate, length in zip(one.calls_per_s, self.windows_s, strict=True)
         )
 
     def class_named(self, name: str) -> CallClass:
@@ -158,18 +158,18 @@
 
     def scaled(self, factor: float) -> "Load":
         streams = tuple(
-            replace(one, calls=tuple(rate * factor for rate in one.calls)) for one in self.streams
+            replace(one, calls_per_s=tuple(rate * factor for rate in one.calls_per_s)) for one in self.streams
         )
         return replace(self, streams=streams)
 
-    def between(self, names: Iterable[str]) -> "Load":
+    def restricted_to(self, names: Iterable[str]) -> "Load":
         """What is left of it among these store switches."""
         kept = set(names)
         streams = tuple(one for one in self.streams if one.origin in kept and one.destination in kept)
         return replace(self, streams=streams)
 
 
-def fleet_of(record: Mapping[str, Any]) -> Fleet:
+def fleet_from_record(record: Mapping[str, Any]) -> Fleet:
     """A fleet from a record of the schema `fleet`. Raises PlanError with every contradiction in it."""
     troubles: list[str] = []
     switches = []
@@ -218,7 +218,7 @@
     )  # fmt: skip
 
 
-def load_of(record: Mapping[str, Any], fleet: Fleet | None = None) -> Load:
+def load_from_record(record: Mapping[str, Any], fleet: Fleet | None = None) -> Load:
     """A load from a record of the schema `load`, checked against the fleet it is for."""
     troubles: list[str] = []
     classes = []
@@ -265,21 +265,21 @@
     )  # fmt: skip
 
 
-def load_record(load: Load) -> dict[str, Any]:
-    """The record that `load_of` reads back."""
+def record_from_load(load: Load) -> dict[str, Any]:
+    """The record that `load_from_record` reads back."""
     return {
         "windows": list(load.windows_s),
         "classes": [
-            {"name": one.name, "hold": one.hold_s, "aim": one.aim_s, "deadline": one.deadline_s,
+            {"name": one.name, "hold": one.holding_time_s, "aim": one.objective_s, "deadline": one.deadline_s,
              "worth": one.worth, "late_worth": one.late_worth, "width": one.width}
             for one in load.classes
         ],
         "streams": [
-            {"from": one.origin, "to": one.destination, "class": one.class_name, "calls": list(one.calls)}
+            {"from": one.origin, "to": one.destination, "class": one.class_name, "calls": list(one.calls_per_s)}
             for one in load.streams
         ],
-        "redial": {"tries": load.redial.tries, "wait": load.redial.wait_s, "patience": load.redial.patience,
-                   "heeds": load.redial.heeds},
-        "holding": load.holding,
+        "redial": {"tries": load.redial.max_redials, "wait": load.redial.wait_s, "patience": load.redial.patience_share,
+                   "heeds": load.redial.heed_share},
+        "holding": load.holding_distribution,
         "notes": list(load.notes),
     }  # fmt: skip
--- a/tansyspur/planner/forecast.py
+++ b/tansyspur/planner/forecast.py
@@ -23,7 +23,7 @@
     length_s: float
     offered: float  # worth a second
     earned: float
-    busy: float  # share of the circuits
+    busy_share: float  # share of the circuits
 
 
 @dataclass(slots=True)
@@ -35,8 +35,8 @@
     service_by_pair: dict[tuple[str, str], float]
     groups: list[dict[str, object]]
     switches: list[dict[str, object]]
-    tandem: float  # share of the calls in time that stand over a tandem
-    late: float
+    tandem_share: float  # share of the calls in time that stand over a tandem
+    late_share: float
     residual: float
     converged: bool
     rounds: int
@@ -49,7 +49,7 @@
         return min(self.service_by_class.values(), default=1.0)
 
 
-def cut_short(load: Load, seconds: float | None) -> Load:
+def truncate_load(load: Load, seconds: float | None) -> Load:
     """The first so many seconds of a load."""
     if not seconds or seconds >= load.span_s:
         return load
@@ -58,7 +58,7 @@
         if left > 0:
             windows.append(min(length, left))
             left -= length
-    streams = tuple(replace(one, calls=one.calls[: len(windows)]) for one in load.streams)
+    streams = tuple(replace(one, calls_per_s=one.calls_per_s[: len(windows)]) for one in load.streams)
     return replace(load, windows_s=tuple(windows), streams=streams)
 
 
@@ -67,15 +67,15 @@
     names = {kind.name: c for c, kind in enumerate(load.classes)}
     rates = [np.zeros((network.n, network.n)) for _ in load.classes]
     for one in load.streams:
-        rates[names[one.class_name]][network.index[one.origin], network.index[one.destination]] += one.calls[
-            window
-        ]
+        rates[names[one.class_name]][network.index[one.origin], network.index[one.destination]] += (
+            one.calls_per_s[window]
+        )
     return rates
 
 
 def _steps(load: Load) -> list[tuple[int, float, float]]:
     """(window, start, length): short ones after each change of load, longer ones as it settles."""
-    shortest = min(kind.hold_s for kind in load.classes) / 4
+    shortest = min(kind.holding_time_s for kind in load.classes) / 4
     least = max(shortest, load.span_s / MOST_STEPS)
     found, at = [], 0.0
     for w, length in enumerate(load.windows_s):
@@ -90,13 +90,14 @@
 ) -> Forecast:
     """The forecast of a run of the whole load. It begins empty, or, where warm, as if the first window had stood for
     ever. Calls from or to switches that the fleet has not are lost, and counted."""
-    here = load.between(fleet.names)
+    here = load.restricted_to(fleet.names)
     network = Network(fleet, here, parts)
     count = len(here.classes)
     erlang = [np.zeros((network.n, network.n)) for _ in range(count)]
     if warm:
         erlang = [
-            rate * kind.hold_s for rate, kind in zip(_rates(network, here, 0), here.classes, strict=True)
+            rate * kind.holding_time_s
+            for rate, kind in zip(_rates(network, here, 0), here.classes, strict=True)
         ]
     state: State | None = None
     totals = _Totals(network, here)
@@ -106,9 +107,9 @@
         rate = by_window[w]
         middle, end = [], []
         for c, kind in enumerate(here.classes):
-            aimed = rate[c] * kind.hold_s
-            middle.append(aimed + (erlang[c] - aimed) * np.exp(-length / 2 / kind.hold_s))
-            end.append(aimed + (erlang[c] - aimed) * np.exp(-length / kind.hold_s))
+            aimed = rate[c] * kind.holding_time_s
+            middle.append(aimed + (erlang[c] - aimed) * np.exp(-length / 2 / kind.holding_time_s))
+            end.append(aimed + (erlang[c] - aimed) * np.exp(-length / kind.holding_time_s))
         solution = network.solve(Demand(rate, middle), state, tolerance)
         state, erlang = solution.state, end
         totals.add(solution, rate, at_s, length)
@@ -130,7 +131,7 @@
     """The services at the heaviest window, found from an empty network and from a full one."""
     heaviest = max(by_window, key=lambda w: sum(float(rate.sum()) for rate in by_window[w]))
     rate = by_window[heaviest]
-    demand = Demand(rate, [r * kind.hold_s for r, kind in zip(rate, load.classes, strict=True)])
+    demand = Demand(rate, [r * kind.holding_time_s for r, kind in zip(rate, load.classes, strict=True)])
     services = []
     for busy in (False, True):
         solution = network.solve(demand, network.start(busy), tolerance)
@@ -257,6 +258,6 @@
     found: dict[str, float] = {}
     for one in load.streams:
         if one.origin not in names or one.destination not in names:
-            calls = sum(rate * length for rate, length in zip(one.calls, load.windows_s, strict=True))
+            calls = sum(rate * length for rate, length in zip(one.calls_per_s, load.windows_s, strict=True))
             found[one.class_name] = found.get(one.class_name, 0.0) + calls
     return found
--- a/tansyspur/planner/network.py
+++ b/tansyspur/planner/network.py
@@ -118,11 +118,13 @@
             self.circuits[i, j] = self.circuits[j, i] = one.circuits
         self.upper = np.triu_indices(n, 1)
         self.sizes = self.circuits[self.upper]
-        self.reserved = np.maximum(1.0, np.minimum(policy.MOST_RESERVED, policy.RESERVED_SHARE * self.sizes))
+        self.reserved = np.maximum(
+            1.0, np.minimum(policy.MAX_RESERVED_CIRCUITS, policy.RESERVED_SHARE * self.sizes)
+        )
         self.delay = np.array(
             [[fleet.delay_s(a, b) if a is not b else 0.0 for b in fleet.switches] for a in fleet.switches]
         )
-        self.rate = np.array([one.rate for one in fleet.switches], dtype=float)
+        self.rate = np.array([one.setups_per_s for one in fleet.switches], dtype=float)
         self.limit_s = np.array([one.queue_limit_s for one in fleet.switches], dtype=float)
         self.other_on_s = np.array([one.other_on_s for one in fleet.switches], dtype=float)
         self.other_off_s = np.array([one.other_off_s for one in fleet.switches], dtype=float)
@@ -141,12 +143,13 @@
         self.widths = [kind.width for kind in self.kinds]
         self.by_worth = sorted(range(len(self.kinds)), key=lambda c: -self.kinds[c].worth)
         top = max(kind.worth for kind in self.kinds)
-        limit = policy.PRESSED_SHARE * min(kind.aim_s for kind in self.kinds)
+        limit = policy.DELAY_LIMIT_SHARE * min(kind.objective_s for kind in self.kinds)
         # policy.Controller._limit: set-up delay up to which an exchange takes a call of this class
         self.limits = [
-            limit * (policy.LEAST_LIMIT + (1 - policy.LEAST_LIMIT) * k.worth / top) for k in self.kinds
+            limit * (policy.MIN_LIMIT_SHARE + (1 - policy.MIN_LIMIT_SHARE) * k.worth / top)
+            for k in self.kinds
         ]
-        self.half_s = policy.DELAY_FADES * limit  # of a delay that no newer one confirms
+        self.half_s = policy.DELAY_HALF_LIFE_LIMITS * limit  # of a delay that no newer one confirms
         self.pair = ~np.eye(n, dtype=bool)
 
     # Parts of a round
@@ -198,8 +201,8 @@
             out, into = gates(wait)
             total = np.broadcast_to(other[:, None], wait.shape).copy()
             for c, kind in enumerate(self.kinds):
-                total += sent[c][:, None] * self._held(out[c], kind.aim_s)
-                total += heard[c][:, None] * self._held(into[c], kind.aim_s)
+                total += sent[c][:, None] * self._held(out[c], kind.objective_s)
+                total += heard[c][:, None] * self._held(into[c], kind.objective_s)
             return total
 
         wait, away = processors.equilibrium(self.power, self.limit_s[:, None], squares[:, None], asked)
@@ -210,10 +213,10 @@
         share[:, 1:] /= len(processors.LEVELS)
         return processors.ProcessorState(share, processors.spread(self.speed), wait, processors.spread(away))
 
-    def _held(self, open_share: Array, aim_s: float) -> Array:
+    def _held(self, open_share: Array, objective_s: float) -> Array:
         """Share of the calls that get through a gate, open so much of the time, while they may wait."""
         shut = np.maximum(1 - open_share, 1e-9)
-        return 1 - shut * np.exp(-aim_s * np.minimum(open_share / shut / GATE_S, 50.0))
+        return 1 - shut * np.exp(-objective_s * np.minimum(open_share / shut / GATE_S, 50.0))
 
     def _delays(self, made: processors.ProcessorState) -> tuple[Array, Array]:
         """Mean set-up delay, and the lag of a release."""
@@ -224,16 +227,16 @@
     def _through(self, c: int, made: processors.ProcessorState, base: Array) -> tuple[Array, Array, Array]:
         """Of the set-ups of a class, by pair: the share that processors take at once, that they take at all, and
         that is answered within the aim; over the phases of both ends."""
-        aim_s = self.kinds[c].aim_s
+        objective_s = self.kinds[c].objective_s
         at_once, at_all, quick = (np.zeros((self.n, self.n)) for _ in range(3))
-        pause = -np.expm1(-aim_s / np.maximum(self.phase_s, 1e-9))
+        pause = -np.expm1(-objective_s / np.maximum(self.phase_s, 1e-9))
         for a in range(made.share.shape[1]):
             for b in range(made.share.shape[1]):
                 share = made.share[:, a][:, None] * made.share[:, b][None, :]
                 if not share.any():
                     continue
                 out, into = self.out[c][:, a][:, None], self.into[c][:, b][None, :]
-                out_held, into_held = self._held(out, aim_s), self._held(into, aim_s)
+                out_held, into_held = self._held(out, objective_s), self._held(into, objective_s)
                 if a:
                     out_held = out_held + (1 - out_held) * pause[:, None]
                 if b:
@@ -241,8 +244,8 @@
                 kept = (1 - made.turned_away[:, a])[:, None] * (1 - made.turned_away[:, b])[None, :]
                 now, ever = out * into * kept, out_held * into_held * kept
                 waits = 2 * (made.wait_s[:, a][:, None] + made.wait_s[:, b][None, :])
-                within = self._within(base + waits, base, aim_s)
-                left = np.clip((aim_s - base - waits) / aim_s, 0.0, 1.0)
+                within = self._within(base + waits, base, objective_s)
+                left = np.clip((objective_s - base - waits) / objective_s, 0.0, 1.0)
                 at_once += share * now
                 at_all += share * ever
                 quick += share * (now * within + (ever - now) * left)
@@ -251,8 +254,8 @@
     def _open(self, delay: Array, rate: Array, limit: Array | float) -> Array:
         """How often the module's smoothed and fading delay of a route is under a limit.
 
-        It is renewed by each call's answer (weight DELAY_WEIGHT) and halves in DELAY_FADES pressure limits; a call
-        comes an exponential time after the last one.
+        It is renewed by each call's answer (weight DELAY_WEIGHT) and halves in DELAY_HALF_LIFE_LIMITS pressure
+        limits; a call comes an exponential time after the last one.
         """
         rate = np.maximum(rate, 1e-3)
         kept = rate / (rate + np.log(2) / self.half_s)
@@ -309,7 +312,7 @@
             return np.zeros((n, n, n)), none, np.zeros((n, n, n))
         gate = np.ones((n, n))
         if self.parts.processors:
-            gate = self._gate(made, base, rates, self.limits[c] * policy.TANDEM_SHARE)
+            gate = self._gate(made, base, rates, self.limits[c] * policy.TANDEM_LIMIT_SHARE)
         fits = (1 - width_shut) * gate * self.pair  # first leg, i to k
         # Weighted by the free fraction of the fuller leg; [i, j, k]
         free = np.minimum((1 - fill)[:, None, :], (1 - fill.T)[None, :, :])
@@ -346,13 +349,13 @@
             draws.append(drawn)
             over_tandem.append(stands)
             legs.append(by_leg)
-            longer = (kind.hold_s + delay + lag) / kind.hold_s
-            erl = (demand.erlang[c] * state.taken[c] + state.seeking[c] * kind.hold_s) * longer
+            longer = (kind.holding_time_s + delay + lag) / kind.holding_time_s
+            erl = (demand.erlang[c] * state.taken[c] + state.seeking[c] * kind.holding_time_s) * longer
             direct.append(self._both_ways(erl))
             # What stands over tandems is what the groups let in: offered was more.
             flow = (
                 (state.first[c] + state.second[c])
-                * kind.hold_s
+                * kind.holding_time_s
                 * longer
                 / np.maximum(1 - state.shut[c], 0.02)
             )
@@ -361,10 +364,10 @@
             held_by.append(mine)
             held += mine
             carried = self._both_ways(demand.rate[c] + state.redial[c])
-            hold_sum += carried * (kind.hold_s + self._both_ways(delay + lag) / 2)
-            patience_sum += mine * max(0.0, kind.aim_s - HELD_MARGIN_S)
+            hold_sum += carried * (kind.holding_time_s + self._both_ways(delay + lag) / 2)
+            patience_sum += mine * max(0.0, kind.objective_s - HELD_MARGIN_S)
         arrivals = self._both_ways(rates)
-        hold = np.where(arrivals > 0, hold_sum / np.maximum(arrivals, 1e-12), kinds[0].hold_s)
+        hold = np.where(arrivals > 0, hold_sum / np.maximum(arrivals, 1e-12), kinds[0].holding_time_s)
         patience = np.where(held > 0, patience_sum / np.maximum(held, 1e-12), 0.0)
         if not parts.waiting:
             patience = np.zeros_like(patience)
@@ -389,13 +392,17 @@
             redials, eager = np.zeros_like(won), np.zeros_like(won)
             late_share = stands - won
             failed = (1 - stands) * self.pair
-            if parts.redials and self.load.redial.tries:
+            if parts.redials and self.load.redial.max_redials:
                 again = taken.copy()
                 if parts.processors:
-                    idle = np.maximum(policy.LATE_LIMIT * self.limits[c], policy.IDLE_DELAYS * base)
+                    idle = np.maximum(
+                        policy.LATE_LIMIT_SHARE * self.limits[c], policy.IDLE_DELAY_FACTOR * base
+                    )
                     again = again * self._gate(made, base, rates, idle)
                 # What was full, or pressed, a moment ago mostly still is.
-                again = again * -np.expm1(-(kind.aim_s + self._redial_wait()) / (RELAXES * kind.hold_s))
+                again = again * -np.expm1(
+                    -(kind.objective_s + self._redial_wait()) / (RELAXES * kind.holding_time_s)
+                )
                 eager, again = again, again * (1 - blocked)
                 tries = self._redials(kind)
                 never = (1 - again) ** tries
@@ -479,21 +486,23 @@
             found.fill,
         )
 
-    def _within(self, delay: Array, base: Array, aim_s: float) -> Array:
+    def _within(self, delay: Array, base: Array, objective_s: float) -> Array:
         """Share of the set-ups answered within the aim: what is not waiting, and waits as a gamma of shape 2."""
         waits = np.maximum(delay - base, 1e-9)
-        x = 2 * np.maximum(aim_s - base, 0.0) / waits
-        return np.where(aim_s <= base, 0.0, -np.expm1(np.log1p(np.minimum(x, 700.0)) - np.minimum(x, 700.0)))
+        x = 2 * np.maximum(objective_s - base, 0.0) / waits
+        return np.where(
+            objective_s <= base, 0.0, -np.expm1(np.log1p(np.minimum(x, 700.0)) - np.minimum(x, 700.0))
+        )
 
     def _redials(self, kind) -> float:
         """Further tries that fit before the class's deadline."""
         redial, wait_s = self.load.redial, self._redial_wait()
-        left_s = kind.deadline_s - (kind.aim_s if self.parts.waiting else 0.0)
-        return float(min(redial.tries, max(0.0, np.floor(left_s / max(wait_s, 1e-3)))))
+        left_s = kind.deadline_s - (kind.objective_s if self.parts.waiting else 0.0)
+        return float(min(redial.max_redials, max(0.0, np.floor(left_s / max(wait_s, 1e-3)))))
 
     def _redial_wait(self) -> float:
         redial, told = self.load.redial, self.fleet.rules.retry_after_s
-        return redial.wait_s + redial.heeds * max(0.0, told / 2 - redial.wait_s)
+        return redial.wait_s + redial.heed_share * max(0.0, told / 2 - redial.wait_s)
 
     # The fixed point
 
--- a/tansyspur/planner/questions.py
+++ b/tansyspur/planner/questions.py
@@ -7,7 +7,7 @@
 from tansyspur.planner.fleet import Fleet, Group, Load, StoreSwitch
 from tansyspur.planner.forecast import Forecast, forecast
 
-MOST_SCALE = 8.0
+MAX_SCALE = 8.0
 PRECISION = 0.01  # of a scale
 MOST_SWITCHES = 64
 
@@ -16,7 +16,7 @@
 class Bottleneck:
     kind: str  # group, processor, depot
     name: str
-    strain: float  # how far it is over what it can bear: share of calls that it refuses or holds back
+    refused_share: float  # how far it is over what it can bear: share of calls that it refuses or holds back
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,16 +33,16 @@
     ]
     rows += [Bottleneck("processor", str(row["name"]), 1 - float(row["takes"])) for row in found.switches]
     rows += [Bottleneck("depot", name, 1 - service) for name, service in found.service_by_depot.items()]
-    return sorted((row for row in rows if row.strain > 1e-4), key=lambda row: -row.strain)
+    return sorted((row for row in rows if row.refused_share > 1e-4), key=lambda row: -row.refused_share)
 
 
 def breaks(fleet: Fleet, load: Load, goal: float, count: int = 4) -> Break | None:
-    """The least load at which the service is under the goal, and what gives way there; None if none up to MOST_SCALE
+    """The least load at which the service is under the goal, and what gives way there; None if none up to MAX_SCALE
     is. By doubling, then halving: service falls with the load."""
     low, high = 0.0, 0.5
     while (found := forecast(fleet, load.scaled(high))).service >= goal:
         low, high = high, high * 2
-        if high > MOST_SCALE:
+        if high > MAX_SCALE:
             return None
     while high - low > PRECISION * high:
         middle = (low + high) / 2
@@ -63,11 +63,11 @@
     circuits: dict[tuple[str, str], int]
     service: float
     worst_loss: str  # what its loss does most harm; empty where losses were not asked for
-    least_switches: int  # no fewer can meet the goal: a bound, not a search
-    why: str  # what the bound rests on, or the bottleneck of an infeasible goal
+    min_switches: int  # no fewer can meet the goal: a bound, not a search
+    reason: str  # what the bound rests on, or the bottleneck of an infeasible goal
 
 
-def least_switches(fleet: Fleet, load: Load, goal: float) -> tuple[int, str]:
+def min_switches(fleet: Fleet, load: Load, goal: float) -> tuple[int, str]:
     """No fleet of fewer switches like these can do it: each call that counts takes work at two processors.
 
     The work of calls that stand in time at the goal's share, in the heaviest window, over the best processor's
@@ -75,8 +75,8 @@
     """
     work = fleet.work
     per_call = 2 * (1 + work.answer + work.release) + work.look
-    rate = max(sum(one.calls[w] for one in load.streams) for w in range(len(load.windows_s)))
-    best = max(one.rate * (1 - one.other_mean) for one in fleet.switches)
+    rate = max(sum(one.calls_per_s[w] for one in load.streams) for w in range(len(load.windows_s)))
+    best = max(one.setups_per_s * (1 - one.other_mean) for one in fleet.switches)
     needed = max(0.0, goal) * rate * per_call / best
     count = max(2, int(-(-needed // 1)))
     return (
@@ -108,15 +108,15 @@
             for there_too in (near, switches)
             if (found := [(a.name, b.name) for a in origins for b in there_too if a is not b])
         )
-        share = tuple(rate / len(pairs) for rate in one.calls)
-        streams += [replace(one, origin=a, destination=b, calls=share) for a, b in pairs]
+        share = tuple(rate / len(pairs) for rate in one.calls_per_s)
+        streams += [replace(one, origin=a, destination=b, calls_per_s=share) for a, b in pairs]
     merged: dict[tuple[str, str, str], list[float]] = {}
     for one in streams:
         known = merged.setdefault((one.origin, one.destination, one.class_name), [0.0] * len(load.windows_s))
-        for w, rate in enumerate(one.calls):
+        for w, rate in enumerate(one.calls_per_s):
             known[w] += rate
     made = tuple(
-        replace(streams[0], origin=a, destination=b, class_name=c, calls=tuple(rates))
+        replace(streams[0], origin=a, destination=b, class_name=c, calls_per_s=tuple(rates))
         for (a, b, c), rates in merged.items()
     )
     groups = tuple(Group((a.name, b.name), 0) for i, a in enumerate(switches) for b in switches[i + 1 :])
@@ -125,12 +125,12 @@
 
 def with_room(fleet: Fleet, load: Load, blocking: float) -> Fleet:
     """Each group as large as Erlang B wants it for its own direct load, in its heaviest window."""
-    holds = {kind.name: (kind.hold_s, kind.width) for kind in load.classes}
+    holds = {kind.name: (kind.holding_time_s, kind.width) for kind in load.classes}
     offered: dict[frozenset[str], list[float]] = {}
     for one in load.streams:
         hold_s, width = holds[one.class_name]
         known = offered.setdefault(frozenset((one.origin, one.destination)), [0.0] * len(load.windows_s))
-        for w, rate in enumerate(one.calls):
+        for w, rate in enumerate(one.calls_per_s):
             known[w] += rate * hold_s * width
     groups = []
     widest = max(kind.width for kind in load.classes)
@@ -161,10 +161,10 @@
     """The fewest switches like the fleet's, and circuits for each group, that meet the goal; with `lose`, "switch" or
     "depot", also for the calls that remain when any one of these is lost.
 
-    Fewer switches than `least_switches` cannot meet it, and from there on each number is tried in turn. Circuits: of
+    Fewer switches than `min_switches` cannot meet it, and from there on each number is tried in turn. Circuits: of
     the common Erlang B blockings that are tried, the highest that meets the goal.
     """
-    least, why = least_switches(fleet, load, goal)
+    least, why = min_switches(fleet, load, goal)
     if least > most:
         return Size(False, most, {}, 0.0, "", least, f"at least {least} switches are needed, as {why}")
     best = Size(False, least, {}, -1.0, "", least, why)
@@ -176,7 +176,7 @@
             service, worst = found.service, ""
             if service >= goal:
                 for name, rest in losses(sized, lose):
-                    after = forecast(rest, spread.between(rest.names)).service
+                    after = forecast(rest, spread.restricted_to(rest.names)).service
                     if after < service:
                         service, worst = after, name
             tell(f"{count} switches, blocking {blocking:g}: service {service:.3f}")
@@ -187,11 +187,11 @@
             if tried.service > best.service:
                 first = bottlenecks(found)[:1]
                 reason = (
-                    f"{first[0].kind} {first[0].name} holds back {first[0].strain:.0%}"
+                    f"{first[0].kind} {first[0].name} holds back {first[0].refused_share:.0%}"
                     if first
                     else "time-outs"
                 )
-                best = replace(tried, why=f"no fleet of up to {count} meets it; at best, {reason}")
+                best = replace(tried, reason=f"no fleet of up to {count} meets it; at best, {reason}")
             if found.service < goal and blocking <= 0.02 and best.service - found.service > 0.02:
                 break
         if count - best.switches >= 4:
--- a/tansyspur/policy.py
+++ b/tansyspur/policy.py
@@ -11,10 +11,13 @@
 from dataclasses import dataclass, field, replace
 from itertools import takewhile
 
-from tansyspur import interface as face
-from tansyspur.interface import Cause, Effect, ExchangeState, ListKind, Outcome
+from tansyspur import interface
+from tansyspur.interface import Cause, Effect, Outcome, SwitchListKind, SwitchState
 
-MOST_RESERVED, RESERVED_SHARE = 2, 0.1  # trunk reservation: one circuit, two in a group of twenty or more
+MAX_RESERVED_CIRCUITS, RESERVED_SHARE = (
+    2,
+    0.1,
+)  # trunk reservation: one circuit, two in a group of twenty or more
 REPORTS_PER_S = 1.0  # fill reports a second from a group that is full: the paper's alpha, design page
 REPORT_GAP_NS = 5_000_000_000  # longest gap between fill reports while few read them, design page
 REPORTS_PER_CALL = 1.0  # reports sent for each call that stood: their cost must not grow with the fleet
@@ -29,16 +32,22 @@
 HELD_CHECK_TICKS = 10  # ticks between looks at the held calls, besides each change of a group
 FIRST_WINDOW, FIRST_OWN, MOST_WINDOW = 2.0, 8.0, 32.0  # set-ups out to one exchange, and through our own
 WINDOW_CUT = 0.7  # the window shrinks to this share on a slow answer
-LEAST_LIMIT = 0.6  # share of the pressure limit for calls of no worth; the worthiest class gets all of it
-LATE_LIMIT = 0.1  # share of the pressure limit for a call that will stand late: only where nothing waits
-IDLE_DELAYS = 1.5  # nothing waits under so many of the least delays of late: a far exchange is never quick
+MIN_LIMIT_SHARE = 0.6  # share of the pressure limit for calls of no worth; the worthiest class gets all of it
+LATE_LIMIT_SHARE = (
+    0.1  # share of the pressure limit for a call that will stand late: only where nothing waits
+)
+IDLE_DELAY_FACTOR = (
+    1.5  # nothing waits under so many of the least delays of late: a far exchange is never quick
+)
 LEAST_RISES = 0.02  # weight of a longer delay in the least one
-TANDEM_SHARE = 0.5  # a tandem, two more processors' work, is drawn only under this share of the limit
-PRESSED_SHARE = 0.5  # share of the tightest aim that a set-up may take before its exchange counts as pressed
+TANDEM_LIMIT_SHARE = 0.5  # a tandem, two more processors' work, is drawn only under this share of the limit
+DELAY_LIMIT_SHARE = (
+    0.5  # share of the tightest aim that a set-up may take before its exchange counts as pressed
+)
 DELAY_WEIGHT = 0.4  # weight of the newest set-up delay
 LOSS_WEIGHT = 0.3  # weight of the newest slow set-up in the share of them whose answer never came
 OWN_WEIGHT = 0.1  # the same for the own processor; a quicker answer counts at once
-DELAY_FADES = 2.0  # half-life of a set-up delay that no newer one confirms, in pressure limits
+DELAY_HALF_LIFE_LIMITS = 2.0  # half-life of a set-up delay that no newer one confirms, in pressure limits
 
 NEVER_RAN = (Outcome.NO_ROOM, Outcome.NO_ROUTE, Outcome.NOT_SENT)  # nothing may be left at the far end
 ANSWERS = (Outcome.NO_ROOM, Outcome.FAULT)  # besides a call that stands
@@ -48,11 +57,11 @@
 
 @dataclass(slots=True)
 class Call:
-    offer: face.CallOffered
-    kind: face.CallClass
+    offer: interface.CallOffered
+    kind: interface.CallClass
     offered_ns: int
     attempts: int = 0
-    out_to: face.Exchange | None = None  # rule 2: set while an attempt is out
+    out_to: interface.CarrierSwitch | None = None  # rule 2: set while an attempt is out
     in_doubt: bool = False  # an attempt may have run at the far end
     ready_ns: int = 0  # rule 5: not sent before this
     drawn: bool = False  # it has had its one tandem
@@ -95,7 +104,7 @@
     """What is known of one exchange number: its processes, our group toward it, and its own groups."""
 
     line: Line  # its processor, by direct set-ups
-    exchanges: dict[int, face.Exchange] = field(default_factory=dict)
+    exchanges: dict[int, interface.CarrierSwitch] = field(default_factory=dict)
     free: float | None = None
     size: float | None = None
     legs: dict[int, tuple[float, float]] = field(
@@ -105,15 +114,15 @@
     read_ns: float = -math.inf  # its last transit call here
     next_cold_ns: int = 0  # rule 4: earliest time of the next set-up while it is cold
 
-    def serving(self) -> face.Exchange | None:
-        in_service = (one for one in self.exchanges.values() if one.state is ExchangeState.IN_SERVICE)
+    def serving(self) -> interface.CarrierSwitch | None:
+        in_service = (one for one in self.exchanges.values() if one.state is SwitchState.IN_SERVICE)
         return next(in_service, None)
 
 
 class Controller:
     """The decisions of one softswitch. handle() is its only way in; it has no clock and does no I/O."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.mesh = settings.shape == "mesh"
         self.random = random.Random(seed)
         self.calls: dict[int, Call] = {}
@@ -130,26 +139,26 @@
         self.own = Line(0.0, window=FIRST_OWN)  # the own processor, by all set-ups
         self._settle(settings)
         self.now = 0
-        self.actions: list[face.Action] = []
+        self.actions: list[interface.Action] = []
         self.handlers = {
-            face.CallOffered: self._offered,
-            face.CallStands: self._stands,
-            face.AttemptEnded: self._attempt_ended,
-            face.GroupReport: self._group_changed,
-            face.ExchangeList: self._list,
-            face.CallGone: lambda event: self._forget(event.call_id),
-            face.PeerMessage: self._message,
-            face.SettingsChanged: lambda event: self._settle(event.settings),
-            face.AvoidedAsked: self._avoided,
-            face.TimerDue: self._timer,
+            interface.CallOffered: self._offered,
+            interface.CallAnswered: self._stands,
+            interface.AttemptEnded: self._attempt_ended,
+            interface.GroupReport: self._group_changed,
+            interface.SwitchList: self._list,
+            interface.CallAbandoned: lambda event: self._forget(event.call_id),
+            interface.PeerMessage: self._message,
+            interface.SettingsChanged: lambda event: self._settle(event.settings),
+            interface.AvoidedSwitchesQuery: self._avoided,
+            interface.TimerDue: self._timer,
         }
 
-    def handle(self, now_ns: int, event: face.Event) -> list[face.Action]:
+    def handle(self, now_ns: int, event: interface.Event) -> list[interface.Action]:
         self.now, self.actions = now_ns, []
         self.handlers[type(event)](event)
         return self.actions
 
-    def _settle(self, settings: face.Settings) -> None:
+    def _settle(self, settings: interface.Settings) -> None:
         """All that follows from the settings, at the start and when they change. A call keeps its class."""
         self.settings = settings
         self.classes = {kind.name: kind for kind in settings.classes}
@@ -157,17 +166,17 @@
         least = min(settings.classes, key=lambda kind: kind.worth)
         self.unknown = replace(least, effect=Effect.AT_MOST_ONCE, pools=())
         self.top_worth = max(kind.worth for kind in settings.classes)
-        limit_ns = PRESSED_SHARE * min(kind.aim_ns for kind in settings.classes)
+        limit_ns = DELAY_LIMIT_SHARE * min(kind.objective_ns for kind in settings.classes)
         self.limit_ns = min(limit_ns, settings.resend_ns or limit_ns)
         self.fades_ns = (
-            DELAY_FADES * limit_ns
+            DELAY_HALF_LIFE_LIMITS * limit_ns
         )  # aims may be short: a slow answer must not outlast them by far
         for line in (self.own, *(neighbour.line for neighbour in self.neighbours.values())):
             line.fades_ns = self.fades_ns
 
     # Routes
 
-    def _offered(self, offer: face.CallOffered) -> None:
+    def _offered(self, offer: interface.CallOffered) -> None:
         kind = self.classes.get(offer.class_name, self.unknown)
         call = Call(offer, kind, self._first_try(offer, kind))
         self.calls[offer.call_id] = call
@@ -175,13 +184,15 @@
             self.neighbours[offer.via].read_ns = self.now
         self._route(call)
 
-    def _first_try(self, offer: face.CallOffered, kind: face.CallClass) -> int:
+    def _first_try(self, offer: interface.CallOffered, kind: interface.CallClass) -> int:
         """When the caller first tried, from which the aim counts. A refused number called again soon is taken
         for a redial, as not all redials are marked. It may misjudge numbers that many callers want."""
         while self.refused and self.now > next(iter(self.refused.values())) + kind.deadline_ns:
             del self.refused[next(iter(self.refused))]
-        first_ns = self.refused.pop(offer.number, None) if offer.number and not offer.was_cut else None
-        return first_ns or self.now - (kind.aim_ns if offer.redial else 0)
+        first_ns = (
+            self.refused.pop(offer.called_number, None) if offer.called_number and not offer.was_cut else None
+        )
+        return first_ns or self.now - (kind.objective_ns if offer.redial else 0)
 
     def _route(self, call: Call) -> None:
         """Direct while the group has room, else a drawn tandem, else the call is held for room."""
@@ -195,11 +206,11 @@
         within = len(neighbour.line.waiting()) < neighbour.line.window and self._own_takes()
         if within and self.now >= call.ready_ns:  # rule 5
             fits = neighbour.free is None or neighbour.free >= call.offer.circuits + reserve
-            if direct and fits and pressure < limit * (TANDEM_SHARE if transit else 1):
+            if direct and fits and pressure < limit * (TANDEM_LIMIT_SHARE if transit else 1):
                 return self._set_up(call, direct)
             # Without a group of its own a call lives on tandems: it draws again after a turn-back.
             may_draw = not transit and (direct or not self.mesh) and (not call.drawn or neighbour.size == 0)
-            tandem = self._draw(call) if may_draw and pressure < limit * TANDEM_SHARE else None
+            tandem = self._draw(call) if may_draw and pressure < limit * TANDEM_LIMIT_SHARE else None
             if tandem:
                 return self._set_up(call, tandem)
         return self._refuse(call) if transit else self._hold(call)
@@ -208,7 +219,7 @@
         """A blocked call waits for a circuit while it could still stand in time. Later, without an attempt
         left, or toward an exchange that is gone, few ever stood (design page): those are answered at once."""
         neighbour, tick_ns = self.neighbours[call.offer.destination], self.settings.tick_ns
-        useful_ns = min(call.offered_ns + call.kind.aim_ns, call.offer.expires_ns)
+        useful_ns = min(call.offered_ns + call.kind.objective_ns, call.offer.expires_ns)
         next_ns = max(self.now + (HELD_CHECK_TICKS + 2) * tick_ns, call.ready_ns)
         exchange = neighbour.serving()
         if exchange and self._cold(exchange):
@@ -218,7 +229,7 @@
         self.held.setdefault(call.offer.destination, {})[call.offer.call_id] = call
         if not self.held_timer:
             self.held_timer = True
-            self.actions.append(face.SetTimer(HELD_TIMER, self.now + HELD_CHECK_TICKS * tick_ns))
+            self.actions.append(interface.SetTimer(HELD_TIMER, self.now + HELD_CHECK_TICKS * tick_ns))
 
     def _serve_held(self, number: int | None) -> None:
         """Most valuable first, then newest first: when not all can be served, some are still in time.
@@ -229,19 +240,19 @@
 
     def _value(self, call: Call) -> float:
         """Worth a circuit-second; a call past its aim earns only its late share."""
-        return call.kind.worth * self._late(call) / (call.kind.circuits * max(call.kind.hold_ns, 1))
+        return call.kind.worth * self._late(call) / (call.kind.circuits * max(call.kind.holding_time_ns, 1))
 
     def _late(self, call: Call) -> float:
-        late = self.now + self._pressure(call.offer.destination) >= call.offered_ns + call.kind.aim_ns
+        late = self.now + self._pressure(call.offer.destination) >= call.offered_ns + call.kind.objective_ns
         return call.kind.late_worth if late and not call.offer.was_cut else 1.0
 
     def _limit(self, call: Call) -> float:
         """Set-up delay up to which an exchange takes this call: processors are kept for what earns most."""
-        share = LEAST_LIMIT + (1 - LEAST_LIMIT) * min(1.0, call.kind.worth / self.top_worth)
+        share = MIN_LIMIT_SHARE + (1 - MIN_LIMIT_SHARE) * min(1.0, call.kind.worth / self.top_worth)
         if self._late(call) == 1:
             return self.limit_ns * share
-        idle_ns = IDLE_DELAYS * self.neighbours[call.offer.destination].line.least_ns
-        return min(self.limit_ns * share, max(self.limit_ns * share * LATE_LIMIT, idle_ns))
+        idle_ns = IDLE_DELAY_FACTOR * self.neighbours[call.offer.destination].line.least_ns
+        return min(self.limit_ns * share, max(self.limit_ns * share * LATE_LIMIT_SHARE, idle_ns))
 
     def _pressure(self, number: int) -> float:
         """Set-up delay to expect: the smoothed one, or the age of the oldest set-up in the queue; no less
@@ -259,11 +270,11 @@
         waiting = self.own.waiting()
         return len(waiting) < self.own.window or self.now - waiting[0] >= self.limit_ns
 
-    def _draw(self, call: Call) -> face.Exchange | None:
+    def _draw(self, call: Call) -> interface.CarrierSwitch | None:
         """PSBU: tandem j with probability (1 - u_j) / (n - sum of u); none, and held, if all read full."""
         destination = call.offer.destination
         routes = []
-        needs, limit = call.offer.circuits, self._limit(call) * TANDEM_SHARE
+        needs, limit = call.offer.circuits, self._limit(call) * TANDEM_LIMIT_SHARE
         for number in self.neighbours if self.mesh else call.kind.pools:
             exchange = None if number == destination else self._open(number)
             fits = exchange and (self.neighbours[number].free or 0) >= needs + self._reserved(number)
@@ -275,7 +286,7 @@
 
     def _reserved(self, number: int) -> float:
         """Circuits that tandem and transit calls leave free; always two would close small groups to them."""
-        return max(1.0, min(MOST_RESERVED, RESERVED_SHARE * (self.neighbours[number].size or 0)))
+        return max(1.0, min(MAX_RESERVED_CIRCUITS, RESERVED_SHARE * (self.neighbours[number].size or 0)))
 
     def _fill(self, number: int, destination: int) -> float:
         """The larger of the first leg's exact fill and what is known of the second's."""
@@ -295,43 +306,43 @@
         if fills:
             self.mean_fill += MEAN_WEIGHT * (sum(fills.values()) / len(fills) - self.mean_fill)
 
-    def _open(self, number: int) -> face.Exchange | None:
+    def _open(self, number: int) -> interface.CarrierSwitch | None:
         """Rules 3 and 4: an exchange to send to now; none while it drains, is gone or is cold and full."""
         neighbour = self.neighbours.get(number)
         exchange = neighbour.serving() if neighbour else None
         cold_full = exchange and self._cold(exchange) and self.now < neighbour.next_cold_ns
         return None if cold_full else exchange
 
-    def _cold(self, exchange: face.Exchange) -> bool:
+    def _cold(self, exchange: interface.CarrierSwitch) -> bool:
         return exchange.started_ns is not None and self.now < exchange.started_ns + self.settings.ramp_ns
 
     def _cold_gap_ns(self) -> int:
         """Rule 4: an equal share of what all senders may send, at any fleet size: comparable exchanges carry
         at least what ours sends. No credit from before a start, and the first not all at once."""
         settings = self.settings
-        share = self._rate() * settings.overload_factor * settings.cold_share / settings.softswitches
+        share = self._rate() * settings.overload_factor * settings.cold_share / settings.gatekeepers
         return int(min(settings.ramp_ns, 1e9 / max(share, 1e-9)))
 
-    def _set_up(self, call: Call, exchange: face.Exchange) -> None:
-        neighbour = self.neighbours[exchange.number]
+    def _set_up(self, call: Call, exchange: interface.CarrierSwitch) -> None:
+        neighbour = self.neighbours[exchange.exchange_number]
         if call.out_to or call.attempts >= self.settings.max_attempts:  # rule 2
             return self._refuse(call)
         neighbour.next_cold_ns = self.now + self._cold_gap_ns()
         if neighbour.free is not None:
             neighbour.free -= call.offer.circuits  # taken at once; the next report is exact again
-        if exchange.number == call.offer.destination:
+        if exchange.exchange_number == call.offer.destination:
             neighbour.line.out[call.offer.call_id] = self.now
         self.own.out[call.offer.call_id] = self.now
         call.out_to = exchange
         call.attempts += 1
-        call.drawn = call.drawn or exchange.number != call.offer.destination
-        self.actions.append(face.SetUp(call.offer.call_id, exchange.exchange_id, self._time_out_ns(call)))
+        call.drawn = call.drawn or exchange.exchange_number != call.offer.destination
+        self.actions.append(interface.SetUp(call.offer.call_id, exchange.switch_id, self._time_out_ns(call)))
 
     def _time_out_ns(self, call: Call) -> int:
         """Where slow answers mostly never come, a set-up is given up early enough to try again in time. Where
         they come late it would double the work of a slow exchange; 0 waits as long as the caller does. A jam
         looks the same to set-ups given up early, so others must still be answered (incident iaa6b83)."""
-        spare_ns = call.offered_ns + call.kind.aim_ns - self.now - self.settings.release_ns
+        spare_ns = call.offered_ns + call.kind.objective_ns - self.now - self.settings.release_delay_ns
         again = call.kind.effect is Effect.REPEATABLE and call.attempts < self.settings.max_attempts
         again = again and not call.offer.in_transit and spare_ns > self.limit_ns and self.losing > 0.5
         again = again and self.now - self.own.passed_ns < self.limit_ns
@@ -342,21 +353,25 @@
         Others are told when to come back, where callers heed it."""
         call_id = call.offer.call_id
         self._forget(call_id)
-        if call.offer.number and not call.offer.in_transit:
-            self.refused[call.offer.number] = call.offered_ns
+        if call.offer.called_number and not call.offer.in_transit:
+            self.refused[call.offer.called_number] = call.offered_ns
         refusable = call.kind.effect is Effect.REPEATABLE or not call.in_doubt
         advised = not call.in_doubt and not call.offer.in_transit
-        retry_in_ns = self._room_in_ns(call) if advised else 0
-        self.actions.append(face.Refuse(call_id, retry_in_ns) if refusable else face.Fail(call_id))
+        retry_after_ns = self._room_in_ns(call) if advised else 0
+        self.actions.append(
+            interface.Refuse(call_id, retry_after_ns) if refusable else interface.Fail(call_id)
+        )
 
     def _room_in_ns(self, call: Call) -> int:
         """When this call may find room: as the delay has faded, and as circuits free for those that wait."""
-        most_ns, neighbour = self.settings.max_retry_advice_ns, self.neighbours.get(call.offer.destination)
+        most_ns, neighbour = self.settings.max_retry_after_ns, self.neighbours.get(call.offer.destination)
         if not most_ns or not neighbour or not neighbour.serving():
             return most_ns
         over = self._pressure(call.offer.destination) / self._limit(call)
         waiting = len(self.held.get(call.offer.destination, ())) + 1
-        circuits_ns = waiting * call.offer.circuits * call.kind.hold_ns / max(1.0, neighbour.size or 1.0)
+        circuits_ns = (
+            waiting * call.offer.circuits * call.kind.holding_time_ns / max(1.0, neighbour.size or 1.0)
+        )
         return int(min(most_ns, max(self.fades_ns * math.log2(max(1.0, over)), circuits_ns)))
 
     def _forget(self, call_id: int) -> None:
@@ -366,19 +381,19 @@
 
     # What comes back
 
-    def _stands(self, event: face.CallStands) -> None:
+    def _stands(self, event: interface.CallAnswered) -> None:
         self._rate(1)
         call = self.calls.get(event.call_id)
-        if call and call.out_to and call.out_to.number != call.offer.destination:
-            tandem, destination = call.out_to.number, call.offer.destination
+        if call and call.out_to and call.out_to.exchange_number != call.offer.destination:
+            tandem, destination = call.out_to.exchange_number, call.offer.destination
             self._saw_legs(tandem, {destination: self._second_leg(tandem, destination) / 2})
         if event.elapsed_ns > self.limit_ns:
             self.losing *= 1 - LOSS_WEIGHT
-        self._answered(event.call_id, event.exchange_id, event.elapsed_ns, event.elapsed_ns)
+        self._answered(event.call_id, event.switch_id, event.elapsed_ns, event.elapsed_ns)
         self._forget(event.call_id)
 
-    def _answered(self, call_id: int, exchange_id: int, delay_ns: float | None, own_ns: float | None) -> None:
-        neighbour, own = self.neighbours.get(self.numbers.get(exchange_id, -1)), self.own
+    def _answered(self, call_id: int, switch_id: int, delay_ns: float | None, own_ns: float | None) -> None:
+        neighbour, own = self.neighbours.get(self.numbers.get(switch_id, -1)), self.own
         line = neighbour.line if neighbour else Line(self.fades_ns)
         sent_ns = line.out.pop(call_id, 0)
         in_order = sent_ns > line.passed_ns
@@ -400,8 +415,8 @@
         self.stood_ns = self.now
         return self.stood_rate / max(0.05, 1 - 0.5 ** ((self.now - self.first_ns) / RATE_SPAN_NS))
 
-    def _attempt_ended(self, event: face.AttemptEnded) -> None:
-        self._group(event.exchange_id, event.report)
+    def _attempt_ended(self, event: interface.AttemptEnded) -> None:
+        self._group(event.switch_id, event.report)
         full = event.cause in (Cause.PROCESSOR_FULL, Cause.FAR_PROCESSOR_FULL)
         sample = 2 * self.limit_ns if full or event.outcome is Outcome.NO_ROUTE else event.elapsed_ns
         never_sent = event.outcome is Outcome.NOT_SENT
@@ -411,7 +426,7 @@
             self.losing += LOSS_WEIGHT * (1 - self.losing)
         # Only an answer tells of the own processor: a time-out, a cut or a missing route is a far end's.
         own_ns = event.elapsed_ns if event.outcome in ANSWERS else None
-        self._answered(event.call_id, event.exchange_id, None if no_delay else sample, own_ns)
+        self._answered(event.call_id, event.switch_id, None if no_delay else sample, own_ns)
         call = self.calls.get(event.call_id)
         if event.final or call is None:
             return self._forget(event.call_id)
@@ -419,9 +434,9 @@
         if event.outcome not in NEVER_RAN:
             call.in_doubt = True
         if event.outcome in NEEDS_RELEASE:
-            call.ready_ns = self.now + self.settings.release_ns  # rule 5
+            call.ready_ns = self.now + self.settings.release_delay_ns  # rule 5
         if tandem and event.cause is Cause.TURNED_BACK:
-            self._saw_legs(tandem.number, {call.offer.destination: 1.0})
+            self._saw_legs(tandem.exchange_number, {call.offer.destination: 1.0})
         repeatable = call.kind.effect is Effect.REPEATABLE
         again = event.cause is Cause.TURNED_BACK or event.outcome in LOST and repeatable
         # The far end took the last circuit first: blocked after all. Or its signalling failed, which leaves
@@ -434,61 +449,63 @@
         else:
             self._refuse(call)
 
-    def _group_changed(self, event: face.GroupReport) -> None:
-        self._group(event.exchange_id, event.report)
-        self._serve_held(self.numbers.get(event.exchange_id))
+    def _group_changed(self, event: interface.GroupReport) -> None:
+        self._group(event.switch_id, event.report)
+        self._serve_held(self.numbers.get(event.switch_id))
 
-    def _group(self, exchange_id: int, report: face.Report | None) -> None:
-        if exchange_id in self.numbers and report is not None:
-            neighbour = self.neighbours[self.numbers[exchange_id]]
+    def _group(self, switch_id: int, report: interface.LoadReport | None) -> None:
+        if switch_id in self.numbers and report is not None:
+            neighbour = self.neighbours[self.numbers[switch_id]]
             neighbour.free = neighbour.free if report.free is None else report.free
             neighbour.size = neighbour.size if report.size is None else report.size
 
     # The list of exchanges
 
-    def _list(self, event: face.ExchangeList) -> None:
-        if event.kind is not ListKind.FAILED:
-            if event.kind is not ListKind.CHANGES:
+    def _list(self, event: interface.SwitchList) -> None:
+        if event.kind is not SwitchListKind.FAILED:
+            if event.kind is not SwitchListKind.CHANGES:
                 for neighbour in self.neighbours.values():
                     neighbour.exchanges = {}
-            for exchange in event.exchanges:
+            for exchange in event.switches:
                 self._entry(exchange)
-            for exchange in event.exchanges:
-                self._serve_held(self.numbers.get(exchange.exchange_id))
+            for exchange in event.switches:
+                self._serve_held(self.numbers.get(exchange.switch_id))
             self.first_ns = self.first_ns or self.now
             if self.settings.may_message and not self.reporting:
                 self.reporting = True
                 wait_ns = int(self.random.random() * 1e9 / REPORTS_PER_S)  # so that not all report at once
-                self.actions.append(face.SetTimer(REPORT_TIMER, self.now + wait_ns))
-        if self.settings.list_on_request and (event.kind is ListKind.FAILED or not self.asked_list):
+                self.actions.append(interface.SetTimer(REPORT_TIMER, self.now + wait_ns))
+        if self.settings.list_on_request and (event.kind is SwitchListKind.FAILED or not self.asked_list):
             self.asked_list = True
-            wait_ns = self.settings.ask_list_every_ns // 4 if event.kind is ListKind.FAILED else 0
-            self.actions.append(face.SetTimer(LIST_TIMER, self.now + wait_ns))
+            wait_ns = (
+                self.settings.list_request_interval_ns // 4 if event.kind is SwitchListKind.FAILED else 0
+            )
+            self.actions.append(interface.SetTimer(LIST_TIMER, self.now + wait_ns))
 
-    def _entry(self, exchange: face.Exchange) -> None:
-        if exchange.number == self.settings.own_exchange:
+    def _entry(self, exchange: interface.CarrierSwitch) -> None:
+        if exchange.exchange_number == self.settings.own_exchange:
             return
-        neighbour = self.neighbours.setdefault(exchange.number, Neighbour(Line(self.fades_ns)))
-        self.numbers[exchange.exchange_id] = exchange.number
-        known = neighbour.exchanges.pop(exchange.exchange_id, None)
-        if exchange.state is not ExchangeState.GONE:
-            neighbour.exchanges[exchange.exchange_id] = exchange
+        neighbour = self.neighbours.setdefault(exchange.exchange_number, Neighbour(Line(self.fades_ns)))
+        self.numbers[exchange.switch_id] = exchange.exchange_number
+        known = neighbour.exchanges.pop(exchange.switch_id, None)
+        if exchange.state is not SwitchState.GONE:
+            neighbour.exchanges[exchange.switch_id] = exchange
             if self._cold(exchange) and (known is None or known.started_ns != exchange.started_ns):
                 neighbour.next_cold_ns = self.now + int(self.random.random() * self._cold_gap_ns())
 
-    def _avoided(self, _: face.AvoidedAsked) -> None:
+    def _avoided(self, _: interface.AvoidedSwitchesQuery) -> None:
         """Those that drain, and those whose processor no call is sent to, however much it is worth."""
-        exchange_ids = tuple(
-            exchange.exchange_id
+        switch_ids = tuple(
+            exchange.switch_id
             for number, neighbour in self.neighbours.items()
             for exchange in neighbour.exchanges.values()
             if exchange is not neighbour.serving() or self._pressure(number) >= self.limit_ns
         )
-        self.actions.append(face.Avoided(exchange_ids))
+        self.actions.append(interface.AvoidedSwitches(switch_ids))
 
     # Fill reports
 
-    def _timer(self, event: face.TimerDue) -> None:
+    def _timer(self, event: interface.TimerDue) -> None:
         if event.token == REPORT_TIMER:
             self._report()
         elif event.token == HELD_TIMER:
@@ -496,7 +513,7 @@
             for number in list(self.held):
                 self._serve_held(number)
         elif event.token == LIST_TIMER:
-            self.actions.append(face.AskList())
+            self.actions.append(interface.SubscribeSwitchList())
 
     def _report(self) -> None:
         """Our groups' fills, one byte a number from the first on, sooner the fuller the fullest group is."""
@@ -509,13 +526,13 @@
         count = len(readers)
         # The first goes to all; a reader whose ordinal is not known yet is reached with all the rest.
         if not self.introduced or None in readers:
-            readers, count, self.introduced = [None], self.settings.softswitches, True
+            readers, count, self.introduced = [None], self.settings.gatekeepers, True
         for reader in readers:
-            self.actions.append(face.SendMessage(reader, data))
+            self.actions.append(interface.SendMessage(reader, data))
         fullest = max((step for step in steps if step <= FILL_STEPS), default=0) / FILL_STEPS
         gap_ns = min(REPORT_GAP_NS, 1e9 / max(fullest * REPORTS_PER_S, 1e-9))
         gap_ns = max(gap_ns, min(READER_NS, 1e9 * count / max(self._rate() * REPORTS_PER_CALL, 1e-9)))
-        self.actions.append(face.SetTimer(REPORT_TIMER, self.now + int(gap_ns)))
+        self.actions.append(interface.SetTimer(REPORT_TIMER, self.now + int(gap_ns)))
 
     def _step(self, number: int) -> int:
         """A group's fill as a report's byte, with the circuits in reserve counted as taken."""
@@ -527,10 +544,10 @@
         fill = 1 - (neighbour.free - self._reserved(number)) / neighbour.size
         return round(FILL_STEPS * min(1.0, max(0.0, fill)))
 
-    def _message(self, event: face.PeerMessage) -> None:
+    def _message(self, event: interface.PeerMessage) -> None:
         """A peer's report. Rows for unknown exchanges are passed over; what is no report changes nothing."""
         data, head = event.data, struct.calcsize(">BII")
-        if not head < len(data) <= head + REPORT_ROWS or not 0 <= event.sender < self.settings.softswitches:
+        if not head < len(data) <= head + REPORT_ROWS or not 0 <= event.sender < self.settings.gatekeepers:
             return
         version, sender, first = struct.unpack_from(">BII", data)
         if version != MESSAGE_FORMAT or sender not in self.neighbours:
--- a/tansyspur/records/__init__.py
+++ b/tansyspur/records/__init__.py
@@ -1,5 +1,5 @@
-"""Typed records: a CUE-like language for what staff write, checked against shipped schemas."""
+"""Typed records: fleets and loads in a CUE-like language, checked against the schemas of the package."""
 
-from tansyspur.records.evaluate import RecordError, Trouble, load, loads, schemas
+from tansyspur.records.evaluate import Problem, RecordError, load, loads, schemas
 
-__all__ = ["RecordError", "Trouble", "load", "loads", "schemas"]
+__all__ = ["Problem", "RecordError", "load", "loads", "schemas"]
