--- a/tansyspur/records/evaluate.py
+++ b/tansyspur/records/evaluate.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class Trouble:
+class Problem:
     """One thing that is wrong, where it stands, and the path of the value."""
 
     place: Place
@@ -38,9 +38,9 @@
 class RecordError(Exception):
     """A record that cannot be used, with all that is wrong with it."""
 
-    def __init__(self, troubles: Iterable[Trouble]) -> None:
-        self.troubles = sorted(set(troubles))
-        super().__init__("\n".join(map(str, self.troubles)))
+    def __init__(self, troubles: Iterable[Problem]) -> None:
+        self.problems = sorted(set(troubles))
+        super().__init__("\n".join(map(str, self.problems)))
 
 
 # Values
@@ -150,14 +150,14 @@
 
 class Evaluator:
     def __init__(self) -> None:
-        self.troubles: list[Trouble] = []
+        self.troubles: list[Problem] = []
         self.known: dict[tuple[int, int], Value] = {}
         self.under_way: set[tuple[int, int]] = set()
         self.kept: list[Any] = []  # scopes and nodes, as they are known by identity
 
     def trouble(self, at: Place, path: str, text: str) -> Bottom:
         if len(self.troubles) < MOST_TROUBLES:
-            self.troubles.append(Trouble(at, path, text))
+            self.troubles.append(Problem(at, path, text))
         return Bottom(at)
 
     # From the tree
@@ -535,7 +535,7 @@
             found = evaluator.unify(found, wanted, "")
         plain = evaluator.plain(found, "", Place(file, 1, 1))
     except syntax.SyntaxTrouble as error:
-        raise RecordError([Trouble(error.place, "", error.text)]) from None
+        raise RecordError([Problem(error.place, "", error.text)]) from None
     if evaluator.troubles:
         raise RecordError(evaluator.troubles)
     return plain
@@ -547,5 +547,5 @@
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
         reason = error.strerror if isinstance(error, OSError) else "not UTF-8"
-        raise RecordError([Trouble(Place(str(path), 0, 0), "", f"cannot be read: {reason}")]) from None
+        raise RecordError([Problem(Place(str(path), 0, 0), "", f"cannot be read: {reason}")]) from None
     return loads(text, schema, str(path))
--- a/tansyspur/report/__init__.py
+++ b/tansyspur/report/__init__.py
@@ -1,1 +1,1 @@
-"""Charts and one self-contained HTML page for what the planner says."""
+"""Charts of a forecast, and one self-contained HTML page with them."""
--- a/tansyspur/report/page.py
+++ b/tansyspur/report/page.py
@@ -85,7 +85,7 @@
         for name, rest in questions.losses(fleet, what)
     ]
     lost = [(name, rest) for name, rest in lost if len(rest.switches) > 1][:MOST_LOSSES]
-    asked = [(rest, load) for _, rest in lost] + [(rest, load.between(rest.names)) for _, rest in lost]
+    asked = [(rest, load) for _, rest in lost] + [(rest, load.restricted_to(rest.names)) for _, rest in lost]
     services = [one.service for one in _forecasts(asked)] if asked else []
     rows = [("nothing lost", found.service, found.service)]
     rows += [(name, services[i], services[i + len(lost)]) for i, (name, _) in enumerate(lost)]
@@ -108,7 +108,7 @@
     return f'<h2>{text}</h2><img alt="{text}" src="data:image/png;base64,{base64.b64encode(data.getvalue()).decode()}">'
 
 
-def write(folder: Path, fleet: Fleet, load: Load, scale: float, found: Forecast) -> Path:
+def write_report(folder: Path, fleet: Fleet, load: Load, scale: float, found: Forecast) -> Path:
     """The page FOLDER/forecast.html; load is unscaled. Raises OSError where it cannot be written."""
     folder.mkdir(parents=True, exist_ok=True)
     low, high = found.band
--- a/tansyspur/rig/__init__.py
+++ b/tansyspur/rig/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet on loopback: stand-in store switches, a command channel and callers round real gatekeepers."""
+"""Test rig: real gatekeepers on loopback among simulated store switches, callers and command channels."""
--- a/tansyspur/rig/fleetrun.py
+++ b/tansyspur/rig/fleetrun.py
@@ -69,19 +69,19 @@
         "ordinal": number,
         "classes": [
             {
-                "name": kind.name, "value": kind.worth, "objective-ns": int(kind.aim_s * S),
+                "name": kind.name, "value": kind.worth, "objective-ns": int(kind.objective_s * S),
                 "deadline-ns": int(kind.deadline_s * S), "late-worth": kind.late_worth,
                 "effect": "idempotent", "dedup-scope": "all", "window-ns": 5 * S, "stream": True,
             }
             for kind in load.classes
         ],
         "family-info": {
-            "shape": "mesh", "here": number, "release-ns": int(rules.release_s * S), "resend-ns": 0,
-            "class-hold-ns": [int(kind.hold_s * S) for kind in load.classes],
+            "shape": "mesh", "here": number, "release-ns": int(rules.release_delay_s * S), "resend-ns": 0,
+            "class-hold-ns": [int(kind.holding_time_s * S) for kind in load.classes],
             "channels-needed": [kind.width for kind in load.classes], "advice": False, "says-wait": False,
         },
         "limits": {
-            "max-attempts": rules.attempts, "peers": rules.reports, "cancel": True, "probes": False,
+            "max-attempts": rules.max_attempts, "peers": rules.fill_reports, "cancel": True, "probes": False,
             "retry-after": rules.retry_after_s > 0, "max-retry-after-ns": int(rules.retry_after_s * S),
             "dial-timeout-ns": S // 2, "conn-idle-ns": 600 * S,
         },
@@ -232,7 +232,7 @@
         callers = {name: free_port(host) for name in names}
         peers = {name: free_port(host, socket.SOCK_DGRAM) for name in names}
         self.peer_net = PeerNet(host, peers, self.plant.delay_s, self.messages)
-        if self.fleet.rules.reports:
+        if self.fleet.rules.fill_reports:
             await self.peer_net.open()
         for number, name in enumerate(names):
             endpoints = []
@@ -300,10 +300,12 @@
         self.start_s = self.loop.time()
         for i, stream in enumerate(self.load.streams):
             draw = random.Random(f"{self.seed}/stream/{i}")
-            for at_s in poisson_times(stream.calls, self.load.windows_s, draw):
+            for at_s in poisson_times(stream.calls_per_s, self.load.windows_s, draw):
                 if at_s < self.seconds:
                     hold = holding_time(
-                        self.load.holding, self.load.class_named(stream.class_name).hold_s, draw
+                        self.load.holding_distribution,
+                        self.load.class_named(stream.class_name).holding_time_s,
+                        draw,
                     )
                     number = f"{draw.getrandbits(64):016x}"
                     # Redials draw from a stream of their own, so that they do not shift the arrivals.
@@ -417,7 +419,9 @@
     def _dial(self, call: CallerCall) -> None:
         kind = self.load.class_named(call.class_name)
         # What a redial may still wait for is what is left of the class's deadline.
-        left_s = min(kind.deadline_s * self.load.redial.patience, call.first_s + kind.deadline_s - self.now())
+        left_s = min(
+            kind.deadline_s * self.load.redial.patience_share, call.first_s + kind.deadline_s - self.now()
+        )
         if left_s <= 0.05:
             call.over = True
             return
@@ -466,8 +470,8 @@
     def _redial(self, call: CallerCall, told_s: float) -> None:
         redial = self.load.redial
         kind = self.load.class_named(call.class_name)
-        wait_s = max(redial.wait_s, told_s if call.draw.random() < redial.heeds else 0.0)
-        if call.tries > redial.tries or self.now() + wait_s >= call.first_s + kind.deadline_s:
+        wait_s = max(redial.wait_s, told_s if call.draw.random() < redial.heed_share else 0.0)
+        if call.tries > redial.max_redials or self.now() + wait_s >= call.first_s + kind.deadline_s:
             call.over = True
             return
         self.at(self.now() + wait_s, self._dial, call)
@@ -578,7 +582,7 @@
             return link.send(_answer(message, 500))
         if one.out is not None:
             self.violated(f"two attempts of {one.wire_id} out at once")
-        if now - one.freed_s < self.fleet.rules.release_s:
+        if now - one.freed_s < self.fleet.rules.release_delay_s:
             self.violated(
                 f"{one.wire_id} again {now - one.freed_s:.3f} s after an attempt that timed out or was cut"
             )
--- a/tansyspur/rig/plant.py
+++ b/tansyspur/rig/plant.py
@@ -52,7 +52,7 @@
     """One line, first in first out. Times in seconds, work in set-ups."""
 
     def __init__(self, switch: StoreSwitch, reject: float, draw: random.Random) -> None:
-        self.rate, self.limit_s, self.reject = switch.rate, switch.queue_limit_s, reject
+        self.rate, self.limit_s, self.reject = switch.setups_per_s, switch.queue_limit_s, reject
         self.other = OtherWork(switch, draw)
         self.free_at_s = 0.0
         self.worked = self.turned_away = 0.0
--- a/tansyspur/rig/results.py
+++ b/tansyspur/rig/results.py
@@ -68,7 +68,7 @@
     if call.stood_s < 0 or call.cut:
         return 0.0
     waited_s = call.stood_s - call.first_s
-    return 1.0 if waited_s <= kind.aim_s else kind.late_worth if waited_s <= kind.deadline_s else 0.0
+    return 1.0 if waited_s <= kind.objective_s else kind.late_worth if waited_s <= kind.deadline_s else 0.0
 
 
 def service(calls: list[CallResult], load: Load) -> float:
--- a/tansyspur/syslog.py
+++ b/tansyspur/syslog.py
@@ -29,7 +29,7 @@
     return re.sub(r"[^!-~]", "", text)[:longest] or "-"
 
 
-def message(
+def format_message(
     severity: int, at: datetime, head: str, msgid: str, sd_id: str, params: Mapping[str, object], text: str
 ) -> str:
     """An RFC 5424 line; head is HOSTNAME, APP-NAME and PROCID."""
@@ -45,17 +45,17 @@
         self,
         host: str,
         threshold: str = "info",
-        export: tuple[str, int] | None = None,
+        udp_address: tuple[str, int] | None = None,
         app: str = "tansyspur",
     ) -> None:
         self.head = f"{printable(host, 255)} {printable(app, 48)} {os.getpid()}"
         self.set_level(threshold)
         self.allowance, self.filled_at, self.dropped = BURST, time.monotonic(), 0
         self.told_at = 0.0
-        self.export = export
+        self.udp_address = udp_address
         self.socket: socket.socket | None = None
-        if export:
-            family = socket.AF_INET6 if ":" in export[0] else socket.AF_INET
+        if udp_address:
+            family = socket.AF_INET6 if ":" in udp_address[0] else socket.AF_INET
             self.socket = socket.socket(family, socket.SOCK_DGRAM)
             self.socket.setblocking(False)
 
@@ -84,15 +84,15 @@
     def _emit(self, severity: int, msgid: str, text: str, params: dict[str, object]) -> None:
         line = self.format(severity, msgid, text, params)
         print(line, file=sys.stderr, flush=True)
-        if self.socket and self.export:
+        if self.socket and self.udp_address:
             try:
-                self.socket.sendto(line.encode(), self.export)
+                self.socket.sendto(line.encode(), self.udp_address)
             except OSError:
                 self.dropped += 1
 
     def format(self, severity: int, msgid: str, text: str, params: dict[str, object]) -> str:
         told = {name: value for name, value in params.items() if value != ""}
-        return message(severity, datetime.now(UTC), self.head, msgid, SD_ID, told, text)
+        return format_message(severity, datetime.now(UTC), self.head, msgid, SD_ID, told, text)
 
     def close(self) -> None:
         if self.dropped:
--- a/tansyspur/translate.py
+++ b/tansyspur/translate.py
@@ -5,21 +5,21 @@
 
 from typing import Any
 
-from tansyspur import interface as face
+from tansyspur import interface
 
 EFFECTS = {
-    "idempotent": face.Effect.REPEATABLE,
-    "deduplicated": face.Effect.DEDUPLICATED,
-    "at_most_once": face.Effect.AT_MOST_ONCE,
+    "idempotent": interface.Effect.REPEATABLE,
+    "deduplicated": interface.Effect.DEDUPLICATED,
+    "at_most_once": interface.Effect.AT_MOST_ONCE,
 }
 REPORT_FIELDS = {
     "free": "free",
     "size": "size",
     "queue": "queue",
-    "util": "busy",
-    "latency_ms": "wait_ms",
-    "can_take": "takes_per_s",
-    "hold_back": "hold_back",
+    "util": "utilization",
+    "latency_ms": "latency_ms",
+    "can_take": "capacity_per_s",
+    "hold_back": "hold_back_share",
 }
 
 
@@ -53,48 +53,48 @@
     return values[index] if isinstance(values, list) and index < len(values) else default
 
 
-def _call_class(row: dict[str, Any], index: int, family: dict[str, Any]) -> face.CallClass:
-    return face.CallClass(
+def _call_class(row: dict[str, Any], index: int, family: dict[str, Any]) -> interface.CallClass:
+    return interface.CallClass(
         name=take(row, "name", str),
         worth=row.get("value", 1.0),
-        aim_ns=int(take(row, "objective-ns", (int, float))),
+        objective_ns=int(take(row, "objective-ns", (int, float))),
         deadline_ns=int(take(row, "deadline-ns", (int, float))),
         late_worth=row.get("late-worth", 0.0),
-        hold_ns=_at(family.get("class-hold-ns"), index, None) or 0,
+        holding_time_ns=_at(family.get("class-hold-ns"), index, None) or 0,
         circuits=_at(family.get("channels-needed"), index, None) or 1,
-        effect=EFFECTS.get(row.get("effect", "idempotent"), face.Effect.AT_MOST_ONCE),
-        same_group=row.get("dedup-scope", "all"),
-        window_ns=row.get("window-ns", 0),
+        effect=EFFECTS.get(row.get("effect", "idempotent"), interface.Effect.AT_MOST_ONCE),
+        dedup_scope=row.get("dedup-scope", "all"),
+        dedup_window_ns=row.get("window-ns", 0),
         pools=tuple(_at(family.get("skilled-pools"), index, None) or ()),
     )
 
 
-def parse_settings(profile: dict[str, Any]) -> face.Settings:
+def parse_settings(profile: dict[str, Any]) -> interface.Settings:
     """The settings of an instance; unknown keys are ignored, missing optional ones keep their default."""
     family, limits, rules = (_section(profile, name) for name in ("family-info", "limits", "guarantees"))
     rows = take(profile, "classes", list)
     here = family.get("here", -1)
     found = {
         "shape": family.get("shape"),
-        "softswitches": profile.get("balancers"),
+        "gatekeepers": profile.get("balancers"),
         "ordinal": profile.get("ordinal"),
         "tick_ns": profile.get("tick-ns"),
-        "release_ns": family.get("release-ns"),
+        "release_delay_ns": family.get("release-ns"),
         "resend_ns": family.get("resend-ns"),
-        "says_wait": family.get("says-wait"),
-        "advice": family.get("advice"),
+        "refusals_carry_wait": family.get("says-wait"),
+        "via_is_advice": family.get("advice"),
         "cold_share": rules.get("cold-share"),
         "ramp_ns": rules.get("ramp-time-ns"),
         "overload_factor": rules.get("overload-factor"),
         "fall_ns": rules.get("fall-ns"),
-        "ask_list_every_ns": rules.get("ask-every-ns"),
+        "list_request_interval_ns": rules.get("ask-every-ns"),
         "max_attempts": limits.get("max-attempts"),
         "may_probe": limits.get("probes"),
         "may_message": limits.get("peers"),
-        "may_recall": limits.get("cancel"),
-        "max_retry_advice_ns": limits.get("max-retry-after-ns") if limits.get("retry-after") else 0,
+        "may_cancel": limits.get("cancel"),
+        "max_retry_after_ns": limits.get("max-retry-after-ns") if limits.get("retry-after") else 0,
     }
-    return face.Settings(
+    return interface.Settings(
         classes=tuple(_call_class(row, index, family) for index, row in enumerate(rows)),
         own_exchange=None if here is None or here < 0 else here,
         list_on_request=profile.get("membership-mode") == "subscribe",
@@ -102,12 +102,12 @@
     )
 
 
-def parse_report(row: Any) -> face.Report | None:
+def parse_report(row: Any) -> interface.LoadReport | None:
     """Missing and -1 figures are unknown, never zero."""
     if not isinstance(row, dict):
         return None
     known = {mine: row[theirs] for theirs, mine in REPORT_FIELDS.items() if _is_figure(row.get(theirs))}
-    return face.Report(**known)
+    return interface.LoadReport(**known)
 
 
 def _is_figure(value: Any) -> bool:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import settings as hypothesis_settings
 
-from tansyspur import interface as face
+from tansyspur import interface
 from tansyspur.policy import Controller
 from tests import known_red
 
@@ -23,26 +23,30 @@
 S = 1_000_000_000
 MS = 1_000_000
 OWN = 1
-CHECK = face.CallClass("check", worth=1.0, aim_ns=2 * S, deadline_ns=9 * S, late_worth=0.25, hold_ns=10 * S)
-URGENT = face.CallClass("urgent", worth=8.0, aim_ns=S, deadline_ns=6 * S, late_worth=0.25, hold_ns=5 * S)
+CHECK = interface.CallClass(
+    "check", worth=1.0, objective_ns=2 * S, deadline_ns=9 * S, late_worth=0.25, holding_time_ns=10 * S
+)
+URGENT = interface.CallClass(
+    "urgent", worth=8.0, objective_ns=S, deadline_ns=6 * S, late_worth=0.25, holding_time_ns=5 * S
+)
 
 
-def settings(**changed) -> face.Settings:
+def settings(**changed) -> interface.Settings:
     values = {
         "classes": (CHECK, URGENT),
         "own_exchange": OWN,
-        "softswitches": 4,
-        "release_ns": 300 * MS,
+        "gatekeepers": 4,
+        "release_delay_ns": 300 * MS,
         "cold_share": 0.3,
         "ramp_ns": 13 * S,
         "overload_factor": 4.0,
         "fall_ns": 1500 * MS,
         "max_attempts": 4,
         "may_message": True,
-        "may_recall": True,
-        "max_retry_advice_ns": 2 * S,
+        "may_cancel": True,
+        "max_retry_after_ns": 2 * S,
     }
-    return face.Settings(**{**values, **changed})
+    return interface.Settings(**{**values, **changed})
 
 
 class Desk:
@@ -53,24 +57,28 @@
         self.now = 10 * S
 
     def list(
-        self, *numbers, kind=face.ListKind.STALE_COPY, state=face.ExchangeState.IN_SERVICE, started=None
+        self,
+        *numbers,
+        kind=interface.SwitchListKind.STALE_COPY,
+        state=interface.SwitchState.IN_SERVICE,
+        started=None,
     ):
-        rows = tuple(face.Exchange(100 + n, n, state, "z", started) for n in numbers)
-        return self.feed(face.ExchangeList(kind, rows))
+        rows = tuple(interface.CarrierSwitch(100 + n, n, state, "z", started) for n in numbers)
+        return self.feed(interface.SwitchList(kind, rows))
 
     def group(self, number, free, size=20):
-        report = face.Report(free=free, size=size)
-        return self.feed(face.GroupReport(100 + number, face.Outcome.ENDED, 0, report))
+        report = interface.LoadReport(free=free, size=size)
+        return self.feed(interface.GroupReport(100 + number, interface.Outcome.ENDED, 0, report))
 
     def call(self, call_id, destination, **more):
         values = {"class_name": "check", "expires_ns": self.now + 3 * S, **more}
-        return self.feed(face.CallOffered(call_id, destination=destination, **values))
+        return self.feed(interface.CallOffered(call_id, destination=destination, **values))
 
     def ended(self, call_id, number, outcome, attempt=0, elapsed=50 * MS, **more):
-        return self.feed(face.AttemptEnded(call_id, attempt, 100 + number, outcome, elapsed, **more))
+        return self.feed(interface.AttemptEnded(call_id, attempt, 100 + number, outcome, elapsed, **more))
 
     def stands(self, call_id, number, elapsed=50 * MS, attempt=0):
-        return self.feed(face.CallStands(call_id, attempt, 100 + number, elapsed))
+        return self.feed(interface.CallAnswered(call_id, attempt, 100 + number, elapsed))
 
     def feed(self, event):
         return self.controller.handle(self.now, event)
@@ -78,7 +86,7 @@
     def later(self, span_ns, timers):
         """Let time pass and fire the given timers' tokens."""
         self.now += span_ns
-        return [action for token in timers for action in self.feed(face.TimerDue(token))]
+        return [action for token in timers for action in self.feed(interface.TimerDue(token))]
 
 
 @pytest.fixture
@@ -95,4 +103,4 @@
 
 
 def tokens(actions):
-    return [action.token for action in of_kind(actions, face.SetTimer)]
+    return [action.token for action in of_kind(actions, interface.SetTimer)]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tansyspur import interface as face
+from tansyspur import interface
 from tansyspur.adapter import Host, WireError, converse, format_action, parse_report, parse_settings
 
 PROFILE = {
@@ -55,10 +55,13 @@
 
 def test_settings_are_translated_and_unknown_keys_ignored():
     settings = parse_settings(PROFILE)
-    assert (settings.own_exchange, settings.ordinal, settings.softswitches) == (7, 2, 3)
-    assert settings.release_ns == 300000000 and settings.max_retry_advice_ns == 5
-    assert settings.classes[0].hold_ns == 10000000000
-    assert settings.overload_factor == face.Settings(classes=settings.classes, own_exchange=1).overload_factor
+    assert (settings.own_exchange, settings.ordinal, settings.gatekeepers) == (7, 2, 3)
+    assert settings.release_delay_ns == 300000000 and settings.max_retry_after_ns == 5
+    assert settings.classes[0].holding_time_ns == 10000000000
+    assert (
+        settings.overload_factor
+        == interface.Settings(classes=settings.classes, own_exchange=1).overload_factor
+    )
 
 
 def test_empty_batch():
@@ -88,7 +91,7 @@
 
 
 def test_unknown_figures_are_unknown():
-    assert parse_report({"free": 0, "size": 12, "queue": -1, "util": None, "new": 3}) == face.Report(
+    assert parse_report({"free": 0, "size": 12, "queue": -1, "util": None, "new": 3}) == interface.LoadReport(
         free=0, size=12
     )
     assert parse_report(None) is None
@@ -97,15 +100,15 @@
 @pytest.mark.parametrize(
     ("action", "row"),
     [
-        (face.SetUp(1, 2, 3), {"cmd": "RELAY", "request-id": 1, "exchange": 2, "cap-ns": 3}),
-        (face.Refuse(1, 9), {"cmd": "PUSH_BACK", "request-id": 1, "retry-in-ns": 9}),
-        (face.Fail(1), {"cmd": "ABORT", "request-id": 1}),
-        (face.Recall(1, 2), {"cmd": "RECALL", "request-id": 1, "hop": 2}),
-        (face.SetTimer(5, 6), {"cmd": "TIMER", "ctx": 5, "alarm-time-ns": 6}),
-        (face.Probe(4), {"cmd": "ASK_LOAD", "exchange": 4}),
-        (face.SendMessage(None, b"hi 7"), {"cmd": "POST", "target": None, "raw": "aGkgNw=="}),
-        (face.AskList(), {"cmd": "SUBSCRIBE", "want": True}),
-        (face.Log("words"), {"cmd": "LOG", "words": "words"}),
+        (interface.SetUp(1, 2, 3), {"cmd": "RELAY", "request-id": 1, "exchange": 2, "cap-ns": 3}),
+        (interface.Refuse(1, 9), {"cmd": "PUSH_BACK", "request-id": 1, "retry-in-ns": 9}),
+        (interface.Fail(1), {"cmd": "ABORT", "request-id": 1}),
+        (interface.CancelAttempt(1, 2), {"cmd": "RECALL", "request-id": 1, "hop": 2}),
+        (interface.SetTimer(5, 6), {"cmd": "TIMER", "ctx": 5, "alarm-time-ns": 6}),
+        (interface.Probe(4), {"cmd": "ASK_LOAD", "exchange": 4}),
+        (interface.SendMessage(None, b"hi 7"), {"cmd": "POST", "target": None, "raw": "aGkgNw=="}),
+        (interface.SubscribeSwitchList(), {"cmd": "SUBSCRIBE", "want": True}),
+        (interface.Log("words"), {"cmd": "LOG", "words": "words"}),
     ],
 )
 def test_actions(action, row):
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tansyspur.cdr.record import CallRecord, write, write_count
+from tansyspur.cdr.record import CallRecord, format_count, format_record
 from tansyspur.planner.capture import capture
 from tansyspur.planner.fleet import CallClass, Load
 
@@ -23,17 +23,17 @@
             at, f"{i:016x}", "lookup", origin, (origin + 1) % 3, f"{draw.getrandbits(40):x}", "ended",
             stood_ms=200, ended_ms=200 + hold_ms, **more,
         )  # fmt: skip
-        made.append(write(record, i + 1, at / 1000, NAMES[origin], process))
+        made.append(format_record(record, i + 1, at / 1000, NAMES[origin], process))
     return made
 
 
 def test_rates_and_holding_times_are_those_of_the_records():
     found = capture({"a": lines(0), "b": lines(1, skew_ms=40)}, NAMES, LIKE)
-    rates = {(s.origin, s.destination): s.calls for s in found.load.streams}
+    rates = {(s.origin, s.destination): s.calls_per_s for s in found.load.streams}
     assert found.first_tries == 400 and found.redials == 0 and found.windows == 2
     assert rates["a", "b"] == pytest.approx((100 / 60, 100 / 60), rel=0.02)
-    assert found.load.classes[0].hold_s == pytest.approx(3.0)
-    assert found.load.classes[1].hold_s == 4.0 and any(
+    assert found.load.classes[0].holding_time_s == pytest.approx(3.0)
+    assert found.load.classes[1].holding_time_s == 4.0 and any(
         "fix: 0 calls ended" in note for note in found.load.notes
     )
 
@@ -49,19 +49,19 @@
         record(200, "n3", "ended", stood_ms=9, redial=True),  # its first try is not here
         record(300, "n4", "refused", transit=True),  # counted where it came in
     ]  # fmt: skip
-    source = [write(row, i + 1, 1e9, "a", 5) for i, row in enumerate(rows)]
+    source = [format_record(row, i + 1, 1e9, "a", 5) for i, row in enumerate(rows)]
     found = capture({"a": source}, NAMES, LIKE)
     assert found.first_tries == 4 and found.redials == 3
 
 
 def test_missing_records_are_counted_and_the_rates_raised():
     whole = lines(0)
-    kept = [line for i, line in enumerate(whole) if i % 4 or i == 0] + [write_count(200, 30, 1e9, "a", 5)]
+    kept = [line for i, line in enumerate(whole) if i % 4 or i == 0] + [format_count(200, 30, 1e9, "a", 5)]
     found = capture({"a": kept}, NAMES, LIKE)
     assert found.missing == 49 and any(
         "49 records are missing" in n and "30 told" in n for n in found.load.notes
     )
-    assert found.load.calls == pytest.approx(200, rel=0.01)
+    assert found.load.total_calls == pytest.approx(200, rel=0.01)
 
 
 def test_half_garbage_leaves_the_good_half_and_says_so():
@@ -72,7 +72,7 @@
     found = capture({"a": spoilt}, NAMES, LIKE)
     assert found.first_tries == 100 and found.spoilt >= 100
     assert any("spoilt lines" in note for note in found.load.notes)
-    assert found.load.calls == pytest.approx(200, rel=0.02)
+    assert found.load.total_calls == pytest.approx(200, rel=0.02)
 
 
 def test_a_restarted_gatekeeper_numbers_anew_and_lacks_nothing():
--- a/tests/test_cdr.py
+++ b/tests/test_cdr.py
@@ -9,7 +9,16 @@
 from hypothesis import strategies as st
 
 from tansyspur.cdr import export
-from tansyspur.cdr.record import CallRecord, NotARecord, count_of, digest, of_line, read, write, write_count
+from tansyspur.cdr.record import (
+    CallRecord,
+    RecordFormatError,
+    digest,
+    format_count,
+    format_record,
+    parse_count,
+    parse_line,
+    parse_record,
+)
 from tests.test_program import program
 from tests.world import Switch, World
 
@@ -25,24 +34,24 @@
 
 @given(RECORD, st.integers(1, 10**9))
 def test_a_record_reads_back_as_it_was_written(record, sequence):
-    line = read(write(record, sequence, 1e9, "n 3", 77))
-    assert of_line(line) == (sequence, record) and line.host == "n3" and line.process == "77"
+    line = parse_line(format_record(record, sequence, 1e9, "n 3", 77))
+    assert parse_record(line) == (sequence, record) and line.host == "n3" and line.process == "77"
 
 
 @given(RECORD, st.data())
 def test_a_line_cut_short_is_never_another_record(record, data):
-    whole = write(record, 5, 1e9, "n3", 77)
+    whole = format_record(record, 5, 1e9, "n3", 77)
     cut = whole[: data.draw(st.integers(0, whole.rindex("]")))]
-    with pytest.raises(NotARecord):
-        line = read(cut)
-        assert of_line(line) is None
-        raise NotARecord  # the line stayed readable, but holds no record
+    with pytest.raises(RecordFormatError):
+        line = parse_line(cut)
+        assert parse_record(line) is None
+        raise RecordFormatError  # the line stayed readable, but holds no record
 
 
 @given(st.text(max_size=200))
 def test_whatever_a_line_holds_only_its_own_error_comes(text):
-    with contextlib.suppress(NotARecord):
-        of_line(read(text))
+    with contextlib.suppress(RecordFormatError):
+        parse_record(parse_line(text))
 
 
 @program
@@ -69,15 +78,15 @@
         await caller.next(third, "answer")
         caller.say("release", third, cause=16)
         await caller.next(third, "release")
-    lines = [read(line) for name in (moved, path) for line in name.read_text().splitlines()]
-    rows = [of_line(line) for line in lines if of_line(line)]
+    lines = [parse_line(line) for name in (moved, path) for line in name.read_text().splitlines()]
+    rows = [parse_record(line) for line in lines if parse_record(line)]
     assert [sequence for sequence, _ in rows] == [1, 2, 3, 4]
     records = [record for _, record in rows]
     assert [record.verdict for record in records] == ["ended", "refused", "failed", "ended"]
     assert records[0].number == digest("abc") and records[0].destination == 1 and records[0].origin == 0
     assert 0 <= records[0].stood_ms <= records[0].ended_ms and records[1].stood_ms == -1
     assert records[1].redial and not records[0].redial and records[1].cause == "processor full"
-    assert count_of(lines[-1]) == (4, 0)
+    assert parse_count(lines[-1]) == (4, 0)
 
 
 @program
@@ -101,11 +110,11 @@
     monkeypatch.undo()
     made(record)
     await made.close()
-    lines = [read(line) for line in (tmp_path / "c").read_text().splitlines()]
-    assert [of_line(line)[0] for line in lines if of_line(line)] == [1, 2, 7]
-    assert count_of(lines[-1]) == (7, 4) == (made.sequence, made.dropped)
+    lines = [parse_line(line) for line in (tmp_path / "c").read_text().splitlines()]
+    assert [parse_record(line)[0] for line in lines if parse_record(line)] == [1, 2, 7]
+    assert parse_count(lines[-1]) == (7, 4) == (made.sequence, made.dropped)
     assert any(more.get("dropped") == 4 for _, more in told)
 
 
 def test_a_count_reads_back():
-    assert count_of(read(write_count(9, 2, 1e9, "n3", 7))) == (9, 2)
+    assert parse_count(parse_line(format_count(9, 2, 1e9, "n3", 7))) == (9, 2)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -18,8 +18,8 @@
     PlanError,
     StoreSwitch,
     Stream,
-    fleet_of,
-    load_of,
+    fleet_from_record,
+    load_from_record,
 )
 from tansyspur.planner.forecast import forecast
 from tansyspur.planner.network import Demand, Network, Parts
@@ -31,8 +31,8 @@
 
 
 def example(name="fleet"):
-    fleet = fleet_of(records.load(EXAMPLES / f"{name}.cue", "fleet"))
-    return fleet, load_of(records.load(EXAMPLES / "load.cue", "load"), fleet)
+    fleet = fleet_from_record(records.load(EXAMPLES / f"{name}.cue", "fleet"))
+    return fleet, load_from_record(records.load(EXAMPLES / "load.cue", "load"), fleet)
 
 
 def mesh(n, circuits, rate=40.0, depots=None, **more):
@@ -58,7 +58,7 @@
     fleet = mesh(3, circuits)
     erlang = np.full((3, 3), offered / 2)
     np.fill_diagonal(erlang, 0.0)
-    network = Network(fleet, Load((1.0,), (replace(KIND, hold_s=1.0),), ()), PURE)
+    network = Network(fleet, Load((1.0,), (replace(KIND, holding_time_s=1.0),), ()), PURE)
     found = network.solve(Demand([erlang], [erlang]))
     assert found.converged and found.residual < 1e-5
     assert 1 - found.in_time[0][0, 1] == pytest.approx(lost[0], abs=0.01)
@@ -73,7 +73,7 @@
     erlang = np.zeros((3, 3))
     for (i, j), load in zip(((0, 1), (0, 2), (1, 2)), (3.0, 1.0, 0.5), strict=True):
         erlang[i, j] = load
-    network = Network(fleet, Load((1.0,), (replace(KIND, hold_s=1.0),), ()), PURE)
+    network = Network(fleet, Load((1.0,), (replace(KIND, holding_time_s=1.0),), ()), PURE)
     found = network.solve(Demand([erlang], [erlang]))
     for (i, j), share in zip(((0, 1), (0, 2), (1, 2)), lost, strict=True):
         assert 1 - found.in_time[0][i, j] == pytest.approx(share, abs=0.02)
@@ -99,7 +99,7 @@
     fleet, load = example("fleet-taken")
     found = forecast(fleet, load.scaled(1.2))
     assert found.service_by_class["rig-depth-fix"] > found.service_by_class["box-lookup"]
-    assert found.band[0] <= found.service <= found.band[1] and 0 <= found.tandem <= 1
+    assert found.band[0] <= found.service <= found.band[1] and 0 <= found.tandem_share <= 1
     assert all(0 <= row["blocking"] <= 1 and row["offered_erl"] >= 0 for row in found.groups)
     assert math.isfinite(found.residual)
 
@@ -148,7 +148,10 @@
     fleet = mesh(3, 10)
     load = even_load(fleet, 3.0, windows=(20.0, 20.0, 20.0))
     gap = replace(
-        load, streams=tuple(replace(one, calls=(one.calls[0], 0.0, one.calls[2])) for one in load.streams)
+        load,
+        streams=tuple(
+            replace(one, calls_per_s=(one.calls_per_s[0], 0.0, one.calls_per_s[2])) for one in load.streams
+        ),
     )
     assert 0.9 < forecast(fleet, gap).service <= 1.0
     assert forecast(fleet, replace(load, streams=())).service == 1.0
@@ -205,10 +208,10 @@
     fleet = mesh(3, 10, rate=40.0)
     load = even_load(fleet, 12.0)
     found = questions.size(fleet, load, 0.95, most=6)
-    assert found.met and found.switches >= found.least_switches and found.service >= 0.95
-    slow = replace(fleet, switches=tuple(replace(one, rate=0.5) for one in fleet.switches))
+    assert found.met and found.switches >= found.min_switches and found.service >= 0.95
+    slow = replace(fleet, switches=tuple(replace(one, setups_per_s=0.5) for one in fleet.switches))
     found = questions.size(slow, load, 0.95, most=4)
-    assert not found.met and found.why
+    assert not found.met and found.reason
 
 
 def test_the_command_keeps_its_contract():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tansyspur import interface as face
+from tansyspur import interface
 from tansyspur.policy import Controller
 from tests.conftest import MS, Desk, S, of_kind, settings, tokens
 
@@ -20,11 +20,11 @@
 
 
 def sends(actions):
-    return [action.exchange_id for action in of_kind(actions, face.SetUp)]
+    return [action.switch_id for action in of_kind(actions, interface.SetUp)]
 
 
 def refused(actions):
-    return [action.call_id for action in of_kind(actions, face.Refuse)]
+    return [action.call_id for action in of_kind(actions, interface.Refuse)]
 
 
 def test_policy_stays_short():
@@ -49,8 +49,8 @@
     for call_id in range(600):
         [tandem] = sends(desk.call(call_id, 2))
         drawn[tandem] += 1
-        desk.feed(face.CallGone(call_id))
-        desk.ended(call_id, tandem - 100, face.Outcome.CANCELLED, final=True)
+        desk.feed(interface.CallAbandoned(call_id))
+        desk.ended(call_id, tandem - 100, interface.Outcome.CANCELLED, final=True)
         desk.group(3, 18)
         desk.group(4, 6)
     assert set(drawn) == {103, 104}
@@ -59,7 +59,7 @@
 
 def test_a_reported_second_leg_counts(desk):
     desk.group(2, 0)
-    desk.feed(face.PeerMessage(1, fills(3, 2, 250)))  # exchange 3 says its group to 2 is full
+    desk.feed(interface.PeerMessage(1, fills(3, 2, 250)))  # exchange 3 says its group to 2 is full
     assert {e for n in range(9) for e in sends(desk.call(n, 2))} == {104}
 
 
@@ -73,22 +73,22 @@
 def test_a_transit_call_only_goes_direct_and_leaves_the_reserve(desk):
     assert sends(desk.call(1, 2, in_transit=True, via=3)) == [102]
     desk.group(2, 2)
-    assert of_kind(desk.call(2, 2, in_transit=True, via=3), face.Refuse) == [face.Refuse(2)]
+    assert of_kind(desk.call(2, 2, in_transit=True, via=3), interface.Refuse) == [interface.Refuse(2)]
 
 
 def test_a_fuller_group_is_reported_sooner_and_only_to_readers():
     desk = Desk()
     assert tokens(desk.list(1, 2, 3, 4)) == [0]
     desk.group(2, 12)  # half of it is free beyond the reserve
-    [first] = of_kind(desk.later(S, [0]), face.SendMessage)
+    [first] = of_kind(desk.later(S, [0]), interface.SendMessage)
     assert first.peer is None and first.data == fills(1, 2, 125, 254, 254)
     quiet = desk.later(5 * S, [0])
-    assert of_kind(quiet, face.SendMessage) == []
-    assert of_kind(quiet, face.SetTimer)[0].at_ns == desk.now + 2 * S
-    desk.feed(face.PeerMessage(2, fills(3, 2, 254)))
+    assert of_kind(quiet, interface.SendMessage) == []
+    assert of_kind(quiet, interface.SetTimer)[0].at_ns == desk.now + 2 * S
+    desk.feed(interface.PeerMessage(2, fills(3, 2, 254)))
     desk.call(1, 2, in_transit=True, via=3)
-    assert [a.peer for a in of_kind(desk.later(S, [0]), face.SendMessage)] == [2]
-    assert of_kind(desk.later(61 * S, [0]), face.SendMessage) == []
+    assert [a.peer for a in of_kind(desk.later(S, [0]), interface.SendMessage)] == [2]
+    assert of_kind(desk.later(61 * S, [0]), interface.SendMessage) == []
 
 
 def test_messages_only_where_allowed():
@@ -110,18 +110,18 @@
 )
 def test_odd_messages_change_nothing(desk, data):
     before = repr(desk.controller.neighbours)
-    assert desk.feed(face.PeerMessage(1, data)) == []
+    assert desk.feed(interface.PeerMessage(1, data)) == []
     assert repr(desk.controller.neighbours) == before
 
 
 def test_a_message_from_an_unknown_sender_changes_nothing(desk):
     before = repr(desk.controller.neighbours)
-    assert desk.feed(face.PeerMessage(9, fills(3, 2, 250))) == []
+    assert desk.feed(interface.PeerMessage(9, fills(3, 2, 250))) == []
     assert repr(desk.controller.neighbours) == before
 
 
 def test_one_unknown_number_does_not_discard_a_report(desk):
-    desk.feed(face.PeerMessage(2, fills(4, 2, 250, 0, 0, 0, 0, 99)))
+    desk.feed(interface.PeerMessage(2, fills(4, 2, 250, 0, 0, 0, 0, 99)))
     assert set(desk.controller.neighbours[4].legs) == {2, 3, 4}
 
 
@@ -129,7 +129,7 @@
     desk = Desk()
     desk.list(*range(1, 500))
     desk.call(1, 2, in_transit=True, via=3)
-    told = [of_kind(desk.later(5 * S, [0]), face.SendMessage)[0].data for _ in range(3)]
+    told = [of_kind(desk.later(5 * S, [0]), interface.SendMessage)[0].data for _ in range(3)]
     assert [struct.unpack_from(HEAD, data)[2] for data in told] == [2, 242, 482]
     assert all(len(data) <= 256 for data in told)
 
@@ -137,17 +137,17 @@
 def test_a_tandem_that_has_no_leg_is_never_drawn(desk):
     """Grown deployments: a leg that does not exist counted as empty, and drew the most."""
     desk.group(2, 0, size=0)
-    desk.feed(face.PeerMessage(1, fills(3, 2, 255)))
+    desk.feed(interface.PeerMessage(1, fills(3, 2, 255)))
     desk.now += 60 * S
     assert {e for n in range(9) for e in sends(desk.call(n, 2))} == {104}
 
 
 def test_an_unseen_leg_counts_as_the_mean_of_what_was_seen(desk):
     for _ in range(100):
-        desk.feed(face.PeerMessage(1, fills(3, 2, 200)))
+        desk.feed(interface.PeerMessage(1, fills(3, 2, 200)))
     second_leg = desk.controller._second_leg
     assert 0.7 < second_leg(4, 2) < 0.81
-    desk.feed(face.PeerMessage(1, fills(3, 2, 0)))
+    desk.feed(interface.PeerMessage(1, fills(3, 2, 0)))
     assert second_leg(3, 2) == 0
     desk.now += 60 * S
     desk.group(4, 0)
@@ -158,14 +158,14 @@
     """Grown deployments: each softswitch read one report a second from every other."""
     gaps = []
     for size in (6, 60):
-        desk = Desk(softswitches=size)
+        desk = Desk(gatekeepers=size)
         desk.list(*range(1, size + 1))
         for number in range(2, size + 1):
             desk.group(number, 0)
         for call_id in range(100):
             desk.now += 100 * MS
             desk.stands(call_id, 2)
-        [timer] = of_kind(desk.later(0, [0]), face.SetTimer)
+        [timer] = of_kind(desk.later(0, [0]), interface.SetTimer)
         gaps.append(timer.at_ns - desk.now)
     assert gaps[0] <= S and 5 * S < gaps[1] < 7 * S
 
@@ -178,7 +178,7 @@
     [
         ({"own_exchange": None}, "own_exchange"),
         ({"shape": "ring"}, "shape"),
-        ({"softswitches": 0}, "softswitches"),
+        ({"gatekeepers": 0}, "gatekeepers"),
         ({"classes": ()}, "classes"),
     ],
 )
@@ -194,21 +194,21 @@
 
 def test_late_news_of_an_ended_call_is_passed_over(desk):
     desk.call(1, 2)
-    desk.feed(face.CallGone(1))
-    assert desk.feed(face.CallGone(1)) == []
-    assert desk.ended(1, 2, face.Outcome.TIMED_OUT, final=True) == []
+    desk.feed(interface.CallAbandoned(1))
+    assert desk.feed(interface.CallAbandoned(1)) == []
+    assert desk.ended(1, 2, interface.Outcome.TIMED_OUT, final=True) == []
 
 
 def test_an_at_most_once_call_that_may_have_run_is_not_refused():
-    once = face.CallClass("once", 1.0, S, 2 * S, effect=face.Effect.AT_MOST_ONCE)
+    once = interface.CallClass("once", 1.0, S, 2 * S, effect=interface.Effect.AT_MOST_ONCE)
     desk = Desk(classes=(once,))
     desk.list(2, 3)
     desk.call(1, 2, class_name="once")
-    assert desk.ended(1, 2, face.Outcome.CUT) == [face.Fail(1)]
+    assert desk.ended(1, 2, interface.Outcome.CUT) == [interface.Fail(1)]
 
 
 def test_pools_draw_a_second_choice_among_the_class_pools():
-    kind = face.CallClass("check", 1.0, S, 2 * S, pools=(2, 3))
+    kind = interface.CallClass("check", 1.0, S, 2 * S, pools=(2, 3))
     desk = Desk(shape="pools", own_exchange=None, classes=(kind,), may_message=False)
     desk.list(2, 3, 4)
     for number, free in ((2, 0), (3, 9), (4, 9)):
@@ -220,9 +220,9 @@
     desk = Desk(list_on_request=True, may_message=False)
     asked = desk.list(1, 2)
     assert tokens(asked) == [1]
-    assert desk.later(0, [1]) == [face.AskList()]
-    failed = desk.feed(face.ExchangeList(face.ListKind.FAILED))
-    assert of_kind(failed, face.SetTimer)[0].at_ns > desk.now
+    assert desk.later(0, [1]) == [interface.SubscribeSwitchList()]
+    failed = desk.feed(interface.SwitchList(interface.SwitchListKind.FAILED))
+    assert of_kind(failed, interface.SetTimer)[0].at_ns > desk.now
 
 
 # Failures found
@@ -258,8 +258,8 @@
     """Kigali busy days: seven in ten draws were turned back, and each refusal came back as a redial."""
     desk.group(2, 0)
     [tandem] = sends(desk.call(1, 2))
-    back = desk.ended(1, tandem - 100, face.Outcome.NO_ROOM, cause=face.Cause.TURNED_BACK)
-    assert of_kind(back, face.Refuse) == [] and sends(back) == []
+    back = desk.ended(1, tandem - 100, interface.Outcome.NO_ROOM, cause=interface.Cause.TURNED_BACK)
+    assert of_kind(back, interface.Refuse) == [] and sends(back) == []
     assert sends(desk.group(2, 3)) == [102]
 
 
@@ -271,7 +271,7 @@
     desk.call(2, 2, class_name="urgent")
     desk.now += 100 * MS
     desk.call(3, 2)
-    order = [a.call_id for _ in range(3) for a in of_kind(desk.group(2, 1), face.SetUp)]
+    order = [a.call_id for _ in range(3) for a in of_kind(desk.group(2, 1), interface.SetUp)]
     assert order[:2] == [2, 3]
 
 
@@ -286,7 +286,7 @@
     """Incident i3c6950: draws among full routes were turned back, work for two processors each."""
     desk.group(2, 0)
     for sender, number in ((1, 3), (2, 4)):
-        desk.feed(face.PeerMessage(sender, fills(number, 2, 250)))
+        desk.feed(interface.PeerMessage(sender, fills(number, 2, 250)))
     assert sends(desk.call(1, 2)) == []
     assert sends(desk.group(2, 3)) == [102]
 
@@ -297,7 +297,7 @@
     desk.list(1, 2, 3, 4)
     desk.group(2, 2)
     desk.call(1, 2, in_transit=True, via=3)
-    [message] = of_kind(desk.later(S, [0]), face.SendMessage)
+    [message] = of_kind(desk.later(S, [0]), interface.SendMessage)
     assert message.data == fills(1, 2, 250, 254, 254)
 
 
@@ -313,10 +313,10 @@
     """Incident iaf7d91: unmarked redials passed for fresh calls and took their place."""
     for number in (2, 3, 4):
         desk.group(number, 0)
-    desk.call(1, 2, number="07", expires_ns=desk.now + 30 * MS)  # refused at once
+    desk.call(1, 2, called_number="07", expires_ns=desk.now + 30 * MS)  # refused at once
     desk.now += 1500 * MS
-    desk.call(2, 2, number="08")
-    desk.call(3, 2, number="07")
+    desk.call(2, 2, called_number="08")
+    desk.call(3, 2, called_number="07")
     assert desk.controller.refused == {}
     assert refused(desk.later(480 * MS, [2])) == [3]  # two seconds from its first try, not from its second
 
@@ -335,9 +335,9 @@
     desk.group(3, 0)
     desk.group(4, 0)
     desk.call(1, 2)
-    gone = desk.list(2, kind=face.ListKind.CHANGES, state=face.ExchangeState.GONE)
-    assert of_kind(gone, face.Refuse) == [face.Refuse(1, 2 * S)]
-    assert of_kind(desk.call(2, 2), face.Refuse) == [face.Refuse(2, 2 * S)]
+    gone = desk.list(2, kind=interface.SwitchListKind.CHANGES, state=interface.SwitchState.GONE)
+    assert of_kind(gone, interface.Refuse) == [interface.Refuse(1, 2 * S)]
+    assert of_kind(desk.call(2, 2), interface.Refuse) == [interface.Refuse(2, 2 * S)]
 
 
 def test_a_call_out_of_attempts_is_answered_at_once():
@@ -346,36 +346,36 @@
     for number, free, size in ((2, 0, 0), (3, 20, 20), (4, 20, 20)):
         desk.group(number, free, size)
     [tandem] = sends(desk.call(1, 2))
-    desk.ended(1, tandem - 100, face.Outcome.NO_ROOM, cause=face.Cause.TURNED_BACK)
+    desk.ended(1, tandem - 100, interface.Outcome.NO_ROOM, cause=interface.Cause.TURNED_BACK)
     [tandem] = sends(desk.later(50 * MS, [2]))
-    back = desk.ended(1, tandem - 100, face.Outcome.NO_ROOM, cause=face.Cause.TURNED_BACK)
+    back = desk.ended(1, tandem - 100, interface.Outcome.NO_ROOM, cause=interface.Cause.TURNED_BACK)
     assert refused(back) == [1]
 
 
 def test_refused_callers_are_told_when_room_may_be_back(desk):
     for number in (2, 3, 4):
         desk.group(number, 0)
-    [answer] = of_kind(desk.call(1, 2, redial=True), face.Refuse)
-    assert answer.retry_in_ns == 500 * MS  # twenty circuits of ten seconds each
+    [answer] = of_kind(desk.call(1, 2, redial=True), interface.Refuse)
+    assert answer.retry_after_ns == 500 * MS  # twenty circuits of ten seconds each
     desk.group(2, 20)
     desk.call(2, 2)
     desk.now += S
     desk.stands(2, 2, elapsed=S)
-    [answer] = of_kind(desk.call(3, 2, redial=True), face.Refuse)
-    assert answer.retry_in_ns == 2 * S  # the delay takes longer to fade than callers heed
+    [answer] = of_kind(desk.call(3, 2, redial=True), interface.Refuse)
+    assert answer.retry_after_ns == 2 * S  # the delay takes longer to fade than callers heed
 
 
 def test_no_advice_where_callers_receive_none_or_the_call_may_have_run(desk):
-    assert of_kind(Desk(max_retry_advice_ns=0).call(1, 99), face.Refuse) == [face.Refuse(1)]
+    assert of_kind(Desk(max_retry_after_ns=0).call(1, 99), interface.Refuse) == [interface.Refuse(1)]
     desk.call(1, 2, expires_ns=desk.now + 280 * MS)  # before the release
-    assert of_kind(desk.ended(1, 2, face.Outcome.TIMED_OUT), face.Refuse) == [face.Refuse(1)]
+    assert of_kind(desk.ended(1, 2, interface.Outcome.TIMED_OUT), interface.Refuse) == [interface.Refuse(1)]
 
 
 def test_a_call_without_a_group_draws_again_after_a_turn_back(desk):
     """Grown deployments: a fifth of the traffic has no direct group; holding such a call can only lose it."""
     desk.group(2, 0, size=0)
     [first] = sends(desk.call(1, 2))
-    desk.ended(1, first - 100, face.Outcome.NO_ROOM, cause=face.Cause.TURNED_BACK)
+    desk.ended(1, first - 100, interface.Outcome.NO_ROOM, cause=interface.Cause.TURNED_BACK)
     [second] = sends(desk.later(50 * MS, [2]))
     assert {first, second} == {103, 104}
 
@@ -399,7 +399,7 @@
     desk.group(2, 2, size=4)
     assert sends(desk.call(1, 2, in_transit=True, via=3)) == [102]
     desk.group(2, 1, size=4)
-    assert of_kind(desk.call(2, 2, in_transit=True, via=3), face.Refuse) == [face.Refuse(2)]
+    assert of_kind(desk.call(2, 2, in_transit=True, via=3), interface.Refuse) == [interface.Refuse(2)]
 
 
 def test_a_slow_own_processor_is_told_by_all_destinations_together(desk):
@@ -421,7 +421,7 @@
 
 def silent_and_well():
     """A desk with twenty exchanges, one of which has answered."""
-    desk = Desk(softswitches=21)
+    desk = Desk(gatekeepers=21)
     desk.list(*range(2, 22))
     for number in range(2, 22):
         desk.group(number, 20)
@@ -455,7 +455,7 @@
         assert sends(desk.call(call_id, 1 + call_id))
     desk.now += 4 * S
     for call_id, outcome in enumerate(
-        [face.Outcome.TIMED_OUT, face.Outcome.CUT, face.Outcome.NO_ROUTE] * 2, 1
+        [interface.Outcome.TIMED_OUT, interface.Outcome.CUT, interface.Outcome.NO_ROUTE] * 2, 1
     ):
         desk.ended(call_id, 1 + call_id, outcome, elapsed=4 * S, final=True)
     assert sends(desk.call(20, 8)) == [108]
@@ -478,19 +478,19 @@
 
 def test_a_lost_answer_is_tried_again_in_time(desk):
     """Answers lost while nothing was slow: such calls came late, and their exchange looked hung."""
-    assert desk.call(1, 2)[0].time_out_ns == 0
+    assert desk.call(1, 2)[0].timeout_ns == 0
     for call_id in range(2, 5):
         desk.call(call_id, 3)
         desk.now += S
-        desk.ended(call_id, 3, face.Outcome.TIMED_OUT, elapsed=S, final=True)
+        desk.ended(call_id, 3, interface.Outcome.TIMED_OUT, elapsed=S, final=True)
         desk.now += 5 * S
-    [jammed] = of_kind(desk.call(7, 4), face.SetUp)
-    assert jammed.time_out_ns == 0  # incident iaa6b83: nothing else is answered either
+    [jammed] = of_kind(desk.call(7, 4), interface.SetUp)
+    assert jammed.timeout_ns == 0  # incident iaa6b83: nothing else is answered either
     desk.stands(7, 4)
-    [first] = of_kind(desk.call(9, 4), face.SetUp)
-    assert first.time_out_ns == 850 * MS  # half of what the aim leaves beside the release
+    [first] = of_kind(desk.call(9, 4), interface.SetUp)
+    assert first.timeout_ns == 850 * MS  # half of what the aim leaves beside the release
     desk.now += 850 * MS
-    assert sends(desk.ended(9, 4, face.Outcome.TIMED_OUT, elapsed=850 * MS)) == []
+    assert sends(desk.ended(9, 4, interface.Outcome.TIMED_OUT, elapsed=850 * MS)) == []
     assert sends(desk.later(250 * MS, [2])) == []  # rule 5
     assert sends(desk.later(600 * MS, [2])) == [104]
 
@@ -499,20 +499,20 @@
     for call_id in range(2, 5):
         desk.call(call_id, 3)
         desk.now += S
-        desk.ended(call_id, 3, face.Outcome.TIMED_OUT, elapsed=S, final=True)
+        desk.ended(call_id, 3, interface.Outcome.TIMED_OUT, elapsed=S, final=True)
         desk.now += 5 * S
     for call_id in range(5, 9):
         desk.call(call_id, 3)
         desk.now += S
         desk.stands(call_id, 3, elapsed=S)
         desk.now += 5 * S
-    assert of_kind(desk.call(9, 4), face.SetUp)[0].time_out_ns == 0
+    assert of_kind(desk.call(9, 4), interface.SetUp)[0].timeout_ns == 0
 
 
 def test_all_softswitches_together_keep_a_cold_exchange_up():
     """Rule 4 at any fleet size: fifty senders, calls standing already, what was cut comes again at once."""
     size, start = 50, 20 * S
-    desks = [Desk(softswitches=size) for _ in range(size)]
+    desks = [Desk(gatekeepers=size) for _ in range(size)]
     times = []
     for seed, desk in enumerate(desks):
         desk.controller.random.seed(seed)
@@ -521,7 +521,7 @@
             desk.now += 100 * MS
             desk.stands(call_id, 3)
         desk.now = start
-        desk.list(2, kind=face.ListKind.CHANGES, started=start)
+        desk.list(2, kind=interface.SwitchListKind.CHANGES, started=start)
         for call_id in range(1000, 1200):
             kind = {"in_transit": True, "via": 3} if call_id % 3 == 0 else {"was_cut": True}
             for call in sends(desk.call(call_id, 2, **kind)):
@@ -537,15 +537,15 @@
 def test_a_signalling_fault_is_tried_again_at_once(desk):
     # Guards against giving up at an exchange that fails most set-ups at once and takes the others.
     assert sends(desk.call(1, 2)) == [102]
-    assert sends(desk.ended(1, 2, face.Outcome.FAULT, elapsed=12 * MS)) == [102]
-    busy = desk.ended(1, 2, face.Outcome.FAULT, 1, 12 * MS, cause=face.Cause.NUMBER_BUSY)
-    assert len(of_kind(busy, face.Refuse)) == 1
+    assert sends(desk.ended(1, 2, interface.Outcome.FAULT, elapsed=12 * MS)) == [102]
+    busy = desk.ended(1, 2, interface.Outcome.FAULT, 1, 12 * MS, cause=interface.Cause.NUMBER_BUSY)
+    assert len(of_kind(busy, interface.Refuse)) == 1
 
 
 def test_a_cut_set_up_is_tried_again_after_its_release(desk):
     # Guards against refusing what a connection lost: the call could still stand in time.
     assert sends(desk.call(1, 2)) == [102]
-    assert desk.ended(1, 2, face.Outcome.CUT) and desk.later(299 * MS, [2]) != [face.Refuse(1)]
+    assert desk.ended(1, 2, interface.Outcome.CUT) and desk.later(299 * MS, [2]) != [interface.Refuse(1)]
     assert sends(desk.later(60 * MS, [2])) == [102]
 
 
@@ -559,7 +559,7 @@
     desk.now += 900 * MS
     assert sends(desk.call(3, 2)) == [102]
     desk.stands(3, 2, 0)
-    desk.ended(1, 2, face.Outcome.TIMED_OUT, elapsed=940 * MS)
+    desk.ended(1, 2, interface.Outcome.TIMED_OUT, elapsed=940 * MS)
     assert sends(desk.call(4, 2)) == [102]
 
 
@@ -567,13 +567,13 @@
     # Guards against taking the time until a connection was found dead for a set-up delay.
     assert sends(desk.call(1, 2)) == [102]
     desk.now += 1800 * MS
-    desk.ended(1, 2, face.Outcome.CUT, elapsed=1800 * MS)
+    desk.ended(1, 2, interface.Outcome.CUT, elapsed=1800 * MS)
     assert sends(desk.call(2, 2)) == [102]
 
 
 def test_a_slow_answer_is_forgotten_sooner_where_aims_are_short():
     # Guards against a fixed memory of delays: one slow answer outlasted the aims of all who came after it.
-    quick = tuple(face.CallClass(name, 1.0, 300 * MS, 3 * S, 0.25, S) for name in ("check", "urgent"))
+    quick = tuple(interface.CallClass(name, 1.0, 300 * MS, 3 * S, 0.25, S) for name in ("check", "urgent"))
     desk = Desk(classes=quick)
     desk.list(1, 2, 3, 4)
     desk.group(2, 20)
@@ -587,7 +587,7 @@
 
 def test_a_late_call_is_taken_by_a_far_exchange_that_is_idle():
     # Guards against a limit under the way there: short aims made it less than any answer could take.
-    quick = tuple(face.CallClass(name, 1.0, 300 * MS, 3 * S, 0.25, S) for name in ("check", "urgent"))
+    quick = tuple(interface.CallClass(name, 1.0, 300 * MS, 3 * S, 0.25, S) for name in ("check", "urgent"))
     desk = Desk(classes=quick)
     desk.list(1, 2, 3, 4)
     desk.group(2, 20)
@@ -603,11 +603,17 @@
 
 def test_changed_settings_hold_at_once_for_all_but_the_class_of_a_call_under_way(desk):
     desk.call(1, 2)
-    assert not of_kind(desk.ended(1, 2, face.Outcome.CUT), face.SetUp)  # waits for its release
-    survey = face.CallClass("survey", worth=4.0, aim_ns=S, deadline_ns=2 * S, effect=face.Effect.AT_MOST_ONCE)
-    desk.feed(face.SettingsChanged(settings(classes=(survey,), max_attempts=1)))
-    (refusal,) = of_kind(desk.later(400 * MS, [2]), face.Refuse)  # no second attempt, though 4 were allowed
+    assert not of_kind(desk.ended(1, 2, interface.Outcome.CUT), interface.SetUp)  # waits for its release
+    survey = interface.CallClass(
+        "survey", worth=4.0, objective_ns=S, deadline_ns=2 * S, effect=interface.Effect.AT_MOST_ONCE
+    )
+    desk.feed(interface.SettingsChanged(settings(classes=(survey,), max_attempts=1)))
+    (refusal,) = of_kind(
+        desk.later(400 * MS, [2]), interface.Refuse
+    )  # no second attempt, though 4 were allowed
     assert refusal.call_id == 1  # and of its old class, which may be refused after an attempt
-    assert of_kind(desk.call(2, 2, class_name="survey"), face.SetUp)
-    assert of_kind(desk.ended(2, 2, face.Outcome.CUT), face.Fail)  # what may have run must not be repeated
+    assert of_kind(desk.call(2, 2, class_name="survey"), interface.SetUp)
+    assert of_kind(
+        desk.ended(2, 2, interface.Outcome.CUT), interface.Fail
+    )  # what may have run must not be repeated
     assert all(line.line.fades_ns == desk.controller.fades_ns for line in desk.controller.neighbours.values())
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tansyspur import records
-from tansyspur.planner.fleet import PlanError, fleet_of, load_of, load_record
+from tansyspur.planner.fleet import PlanError, fleet_from_record, load_from_record, record_from_load
 from tests.test_erlang import tool
 from tests.world import ROOT
 
@@ -88,7 +88,7 @@
 def test_what_is_wrong_is_told_with_its_place(text, line, column, path, said):
     with pytest.raises(records.RecordError) as caught:
         records.loads(text, file="f.cue")
-    first = caught.value.troubles[0]
+    first = caught.value.problems[0]
     assert (first.place.file, first.place.line, first.place.column) == ("f.cue", line, column)
     assert first.path == path and said in first.text
 
@@ -103,7 +103,7 @@
 """
     with pytest.raises(records.RecordError) as caught:
         records.loads(text, "fleet", "bad.cue")
-    told = {trouble.path: trouble for trouble in caught.value.troubles}
+    told = {trouble.path: trouble for trouble in caught.value.problems}
     assert set(told) == {
         "switches[0].rate", "switches[0].raet", "switches[1].depot", "switches[1].queue_limit",
         "switches[1].other.share", "groups[0].ends", "groups[0].circuits", "work.look",
@@ -135,14 +135,14 @@
     try:
         records.loads(text, "fleet")
     except records.RecordError as error:
-        assert error.troubles
+        assert error.problems
 
 
 def test_a_load_reads_back_as_it_was_written():
-    fleet = fleet_of(records.load(EXAMPLES / "fleet.cue", "fleet"))
-    load = load_of(records.load(EXAMPLES / "load.cue", "load"), fleet)
-    again = load_of(records.loads(json.dumps(load_record(load)), "load"), fleet)
-    assert again == load and 57 < load.calls / load.span_s < 59
+    fleet = fleet_from_record(records.load(EXAMPLES / "fleet.cue", "fleet"))
+    load = load_from_record(records.load(EXAMPLES / "load.cue", "load"), fleet)
+    again = load_from_record(records.loads(json.dumps(record_from_load(load)), "load"), fleet)
+    assert again == load and 57 < load.total_calls / load.span_s < 59
     assert len(fleet.switches) == 7 and len(fleet.depots) == 4 and len(fleet.groups) == 21
 
 
@@ -153,15 +153,15 @@
         "depots": ["y"],
     }
     with pytest.raises(PlanError) as caught:
-        fleet_of(records.loads(json.dumps(fleet), "fleet"))
-    told = "\n".join(caught.value.troubles)
+        fleet_from_record(records.loads(json.dumps(fleet), "fleet"))
+    told = "\n".join(caught.value.problems)
     for path in ("switches[1].name", "switches[0].depot", "groups[0].ends", "groups[1].ends"):
         assert path in told
     load = """windows: [1s, 2s], classes: [{name: "c", hold: 1s, aim: 9s, deadline: 3s}]
 streams: [{from: "a", to: "a", class: "d", calls: [1]}]"""
     with pytest.raises(PlanError) as caught:
-        load_of(records.loads(load, "load"))
-    assert [one.split(":")[0] for one in caught.value.troubles] == [
+        load_from_record(records.loads(load, "load"))
+    assert [one.split(":")[0] for one in caught.value.problems] == [
         "classes[0].aim", "streams[0].to", "streams[0].class", "streams[0].calls",
     ]  # fmt: skip
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,13 +3,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tansyspur import interface as face
+from tansyspur import interface
 from tests.conftest import MS, OWN, Desk, S
 
 GRACE_NS = 20 * MS
 NUMBERS = (2, 3, 4)
-OUTCOMES = [outcome for outcome in face.Outcome if outcome is not face.Outcome.ENDED]
-DOUBTFUL = (face.Outcome.TIMED_OUT, face.Outcome.CUT, face.Outcome.CANCELLED)
+OUTCOMES = [outcome for outcome in interface.Outcome if outcome is not interface.Outcome.ENDED]
+DOUBTFUL = (interface.Outcome.TIMED_OUT, interface.Outcome.CUT, interface.Outcome.CANCELLED)
 
 STEPS = st.lists(
     st.one_of(
@@ -18,11 +18,14 @@
         ),
         st.tuples(st.just("stands"), st.integers(0, 50)),
         st.tuples(
-            st.just("ended"), st.integers(0, 50), st.sampled_from(OUTCOMES), st.sampled_from(list(face.Cause))
+            st.just("ended"),
+            st.integers(0, 50),
+            st.sampled_from(OUTCOMES),
+            st.sampled_from(list(interface.Cause)),
         ),
         st.tuples(st.just("gone"), st.integers(0, 50)),
         st.tuples(st.just("group"), st.sampled_from(NUMBERS), st.integers(0, 12)),
-        st.tuples(st.just("drain"), st.sampled_from(NUMBERS), st.sampled_from(list(face.ExchangeState))),
+        st.tuples(st.just("drain"), st.sampled_from(NUMBERS), st.sampled_from(list(interface.SwitchState))),
         st.tuples(st.just("restart"), st.sampled_from(NUMBERS)),
         st.tuples(st.just("wait"), st.integers(1, 150)),
     ),
@@ -54,23 +57,23 @@
         now = self.desk.now
         for action in actions:
             match action:
-                case face.SetUp(call_id, exchange_id, _):
+                case interface.SetUp(call_id, switch_id, _):
                     assert call_id in self.owed, "rule 1: sent after its final answer"
                     assert call_id not in self.out, "rule 2: two attempts out"
-                    assert now <= self.closed.get(exchange_id, now), "rule 3: sent to a closed exchange"
+                    assert now <= self.closed.get(switch_id, now), "rule 3: sent to a closed exchange"
                     assert now >= self.ready.get(call_id, 0), "rule 5: sent before the release"
                     attempt = self.attempts.get(call_id, 0)
                     assert attempt < self.desk.controller.settings.max_attempts
                     self.attempts[call_id] = attempt + 1
-                    self.out[call_id] = (exchange_id, attempt)
-                    self.sends.append((now, call_id, exchange_id))
-                case face.Refuse(call_id, retry_in_ns):
+                    self.out[call_id] = (switch_id, attempt)
+                    self.sends.append((now, call_id, switch_id))
+                case interface.Refuse(call_id, retry_after_ns):
                     self.answer(call_id)
                     safe = call_id not in self.ready and call_id not in self.transit
-                    assert 0 <= retry_in_ns <= (2 * S if safe else 0), "advice that is not safe"
-                case face.Fail(call_id):
+                    assert 0 <= retry_after_ns <= (2 * S if safe else 0), "advice that is not safe"
+                case interface.Fail(call_id):
                     self.answer(call_id)
-                case face.SetTimer(token, at_ns):
+                case interface.SetTimer(token, at_ns):
                     self.timers.append((at_ns, token))
 
     def answer(self, call_id) -> None:
@@ -90,22 +93,22 @@
             self.desk.now += 5 * MS
             for call_id, expires_ns in list(self.owed.items()):
                 if call_id in self.out and self.desk.now >= expires_ns:
-                    self.end(call_id, face.Outcome.TIMED_OUT, None)
+                    self.end(call_id, interface.Outcome.TIMED_OUT, None)
             due = [entry for entry in self.timers if entry[0] <= self.desk.now]
             self.timers = [entry for entry in self.timers if entry[0] > self.desk.now]
             for _, token in due:
-                self.take(self.desk.feed(face.TimerDue(token)))
+                self.take(self.desk.feed(interface.TimerDue(token)))
             for call_id, expires_ns in self.owed.items():
                 held = call_id not in self.out
                 assert not held or not self.hopeless(call_id), "held without hope"
                 assert self.desk.now <= expires_ns + GRACE_NS, f"rule 1: no final answer for {call_id}"
 
     def end(self, call_id, outcome, cause) -> None:
-        exchange_id, attempt = self.out.pop(call_id)
+        switch_id, attempt = self.out.pop(call_id)
         final = call_id not in self.owed
         if outcome in DOUBTFUL:
             self.ready[call_id] = self.desk.now + 300 * MS
-        event = face.AttemptEnded(call_id, attempt, exchange_id, outcome, 50 * MS, final, cause)
+        event = interface.AttemptEnded(call_id, attempt, switch_id, outcome, 50 * MS, final, cause)
         self.take(self.desk.feed(event))
 
     def step(self, step) -> None:
@@ -122,26 +125,28 @@
             case ("stands", pick) if set(self.out) & set(self.owed):
                 choices = sorted(set(self.out) & set(self.owed))
                 call_id = choices[pick % len(choices)]
-                exchange_id, attempt = self.out[call_id]
+                switch_id, attempt = self.out[call_id]
                 del self.owed[call_id]
-                self.take(self.desk.feed(face.CallStands(call_id, attempt, exchange_id, 40 * MS)))
+                self.take(self.desk.feed(interface.CallAnswered(call_id, attempt, switch_id, 40 * MS)))
             case ("ended", pick, outcome, cause) if self.out:
                 self.end(sorted(self.out)[pick % len(self.out)], outcome, cause)
             case ("gone", pick) if self.owed:
                 call_id = sorted(self.owed)[pick % len(self.owed)]
                 del self.owed[call_id]
-                self.take(self.desk.feed(face.CallGone(call_id)))
+                self.take(self.desk.feed(interface.CallAbandoned(call_id)))
             case ("group", number, free):
                 self.take(self.desk.group(number, free))
             case ("drain", number, state):
-                if state is face.ExchangeState.IN_SERVICE:
+                if state is interface.SwitchState.IN_SERVICE:
                     self.closed.pop(100 + number, None)
                 else:
                     self.closed.setdefault(100 + number, self.desk.now + 500 * MS)
-                self.take(self.desk.list(number, kind=face.ListKind.CHANGES, state=state))
+                self.take(self.desk.list(number, kind=interface.SwitchListKind.CHANGES, state=state))
             case ("restart", number):
                 self.closed.pop(100 + number, None)
-                self.take(self.desk.list(number, kind=face.ListKind.CHANGES, started=self.desk.now))
+                self.take(
+                    self.desk.list(number, kind=interface.SwitchListKind.CHANGES, started=self.desk.now)
+                )
             case ("wait", ticks):
                 self.wait(ticks * 5 * MS)
 
@@ -161,12 +166,12 @@
 def test_rule_four_shares_the_cold_budget(steps):
     """Nothing is known to be carried yet, so each sender may place one set-up in a window, not a burst."""
     watch = Watch()
-    watch.desk.list(2, kind=face.ListKind.CHANGES, started=watch.desk.now)
+    watch.desk.list(2, kind=interface.SwitchListKind.CHANGES, started=watch.desk.now)
     start, window = watch.desk.now, watch.desk.controller.settings.fall_ns
     for number, ticks, transit in steps:
         watch.step(("call", number, 900, 1 if transit else 0))
         watch.wait(ticks * 5 * MS)
-    times = [at for at, _, exchange_id in watch.sends if exchange_id == 102 and at < start + 13 * S]
+    times = [at for at, _, switch_id in watch.sends if switch_id == 102 and at < start + 13 * S]
     assert all(later - at >= window for at, later in zip(times, times[1:], strict=False))
 
 
