--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""Wire lines in, wire lines out, and plain words on what is malformed."""
+"""Tests of the simulator's adapter: lines in, lines out, and errors that name the line and the field."""
 
 import io
 import json
@@ -8,7 +8,7 @@
 import pytest
 
 from tansyspur import interface
-from tansyspur.adapter import Host, WireError, converse, format_action, parse_report, parse_settings
+from tansyspur.adapter import InstanceHost, WireError, format_action, parse_report, parse_settings, serve
 
 PROFILE = {
     "balancers": 3,
@@ -26,30 +26,30 @@
 END = '{"cmd":"END"}'
 
 
-def line(command, **fields):
+def instance_line(command, **fields):
     return json.dumps({"cmd": command, "i": 3, **fields})
 
 
-def start():
+def start_lines():
     return [
         SYNC,
-        line("SPAWN", salt=4, **{"profile-data": PROFILE}),
+        instance_line("SPAWN", salt=4, **{"profile-data": PROFILE}),
         json.dumps({"cmd": "CENSUS", "sheet": 0, "rows": [ROW]}),
-        line("TOPOLOGY", mode="stale_copy", revision=1, sheet=0),
+        instance_line("TOPOLOGY", mode="stale_copy", revision=1, sheet=0),
     ]
 
 
-def offer(call_id=77, to=9):
-    return line(
+def offer_line(call_id=77, to=9):
+    return instance_line(
         "WORK_ITEM",
         **{"request-id": call_id, "type": "a", "team": None, "object": "00", "expires-ns": 3000000000},
         **{"terminates-at": to, "width": 1, "via": -1, "resent": False, "midflow": False, "came-back": False},
     )
 
 
-def talk(lines):
+def replies(lines):
     out = io.StringIO()
-    converse(iter(lines), out)
+    serve(iter(lines), out)
     return [json.loads(text) for text in out.getvalue().splitlines()]
 
 
@@ -64,33 +64,35 @@
     )
 
 
-def test_empty_batch():
-    assert talk([SYNC, END]) == [{"cmd": "EOR"}]
+def test_an_empty_batch_is_answered_with_eor():
+    assert replies([SYNC, END]) == [{"cmd": "EOR"}]
 
 
-def test_a_call_goes_out_as_relay():
-    reply = talk([*start(), offer(), END])
+def test_a_call_is_set_up_with_relay():
+    reply = replies([*start_lines(), offer_line(), END])
     relay = [row for row in reply if row["cmd"] == "RELAY"]
     assert [(row["i"], row["request-id"], row["exchange"]) for row in relay] == [(3, 77, 51)]
     assert reply[-1] == {"cmd": "EOR"}
 
 
-def test_lists_are_numbered_in_order_of_events():
-    host = Host()
-    for text in start():
-        host.feed(text)
-    host.feed(json.dumps({"cmd": "CENSUS", "sheet": 0, "rows": []}))
-    host.feed(line("TOPOLOGY", mode="whole", revision=2, sheet=0))
-    host.feed(offer())
-    assert not any('"RELAY"' in text for text in host.feed(END))
+def test_a_new_list_with_the_same_number_replaces_the_old():
+    host = InstanceHost()
+    for text in start_lines():
+        host.handle_line(text)
+    host.handle_line(json.dumps({"cmd": "CENSUS", "sheet": 0, "rows": []}))
+    host.handle_line(instance_line("TOPOLOGY", mode="whole", revision=2, sheet=0))
+    host.handle_line(offer_line())
+    assert not any('"RELAY"' in text for text in host.handle_line(END))
 
 
-def test_halt_forgets_and_spawn_starts_anew():
-    reply = talk([*start(), offer(), line("HALT"), *start()[1:], offer(78), END])
+def test_halt_removes_an_instance_and_spawn_creates_a_new_one():
+    reply = replies(
+        [*start_lines(), offer_line(), instance_line("HALT"), *start_lines()[1:], offer_line(78), END]
+    )
     assert [row["request-id"] for row in reply if row["cmd"] == "RELAY"] == [77, 78]
 
 
-def test_unknown_figures_are_unknown():
+def test_unknown_values_of_a_load_report_are_none():
     assert parse_report({"free": 0, "size": 12, "queue": -1, "util": None, "new": 3}) == interface.LoadReport(
         free=0, size=12
     )
@@ -111,12 +113,12 @@
         (interface.Log("words"), {"cmd": "LOG", "words": "words"}),
     ],
 )
-def test_actions(action, row):
+def test_actions_are_formatted_as_lines(action, row):
     assert format_action(3, action) == {**row, "i": 3}
 
 
 @pytest.mark.parametrize(
-    ("lines", "fault"),
+    ("lines", "message"),
     [
         (["{"], "line 1: not a JSON value"),
         (["[1]"], "line 1: not an object"),
@@ -124,22 +126,25 @@
         ([END], "END outside a batch"),
         ([SYNC, SYNC], "line 2: SYNC inside a batch"),
         ([SYNC], "ended inside a batch"),
-        ([SYNC, line("TIMELY")], "not running"),
-        ([*start(), line("TIMELY")], "unknown command 'TIMELY'"),
-        ([*start(), line("DEADLINE_HIT", ctx=True)], "'ctx' has an unusable value"),
-        ([*start(), line("INBOX", **{"src-peer": 0, "raw": "?"})], "'raw' is not base64"),
-        ([*start(), line("TOPOLOGY", mode="whole", sheet=9)], "list 9 was never sent"),
-        ([SYNC, line("SPAWN", salt=1, **{"profile-data": {"classes": [1]}})], "line 2"),
-        ([SYNC, line("SPAWN", salt=1, **{"profile-data": {**PROFILE, "family-info": {}}})], "own_exchange"),
+        ([SYNC, instance_line("TIMELY")], "not running"),
+        ([*start_lines(), instance_line("TIMELY")], "unknown command 'TIMELY'"),
+        ([*start_lines(), instance_line("DEADLINE_HIT", ctx=True)], "'ctx' has a value of the wrong type"),
+        ([*start_lines(), instance_line("INBOX", **{"src-peer": 0, "raw": "?"})], "'raw' is not base64"),
+        ([*start_lines(), instance_line("TOPOLOGY", mode="whole", sheet=9)], "list 9 was never sent"),
+        ([SYNC, instance_line("SPAWN", salt=1, **{"profile-data": {"classes": [1]}})], "line 2"),
+        (
+            [SYNC, instance_line("SPAWN", salt=1, **{"profile-data": {**PROFILE, "family-info": {}}})],
+            "own_exchange",
+        ),
     ],
 )
-def test_malformed_lines_are_named(lines, fault):
+def test_errors_name_the_line_and_the_field(lines, message):
     with pytest.raises(WireError) as error:
-        talk(lines)
-    assert fault in str(error.value)
+        replies(lines)
+    assert message in str(error.value)
 
 
-def test_the_process_says_one_plain_line_and_fails():
+def test_the_process_prints_one_line_on_malformed_input_and_fails():
     run = subprocess.run(
         [sys.executable, "-m", "tansyspur.adapter"], input="nonsense\n", capture_output=True, text=True
     )
