--- a/tansyspur/core/gatekeeper.py
+++ b/tansyspur/core/gatekeeper.py
@@ -1,4 +1,9 @@
-"""The gatekeeper: one Controller, the clock, the list of carrier switches, and a task for each call."""
+"""The gatekeeper: serves calls between callers and carrier switches.
+
+Gatekeeper owns the Controller, which makes all decisions, and the list of carrier switches. It passes events to
+the Controller and carries out the actions that it returns. Each open call has a task, which receives the signals of
+its caller and of its switch from a queue. Names that end in _ns are nanoseconds of the gatekeeper's clock.
+"""
 
 import asyncio
 import contextlib
@@ -24,10 +29,11 @@
 )
 from tansyspur.policy import Controller
 
-DEADLINE_MARGIN_MS = 10  # the final answer leaves this much before the caller stops waiting
-STALE_S = 1.0  # busy groups change sooner; at 50 ms the old state misled more calls than it helped
-CROSSING_S = 1.0  # so long after a change of settings callers may still go by the former ones
-MOST_CALLS = 20_000  # calls open at once; more are refused unheard
+DEADLINE_MARGIN_MS = 10  # the final answer is sent this long before the caller stops waiting
+# A busy group sends a newer report sooner than this. With 50 ms, the old report misled more calls than it helped.
+REPORT_RESTORE_DELAY_S = 1.0
+SETTINGS_OVERLAP_S = 1.0  # callers may still use the former settings for this long after a change
+MAX_OPEN_CALLS = 20_000  # further calls are refused on arrival
 
 Log = Callable[..., None]
 Order = interface.SetUp | interface.Refuse | interface.Fail
@@ -37,36 +43,43 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    call_id: int  # the module's; the caller's id is in the offer
+    """An open call, from its offer to its end."""
+
+    call_id: int  # used with the controller only; the caller's id is offer.wire_id
     offer: Offer
     caller: CallerLeg
-    expires_ns: int
+    expires_ns: int  # when the final answer is due
     signals: asyncio.Queue[ports.Signal | Order] = field(default_factory=asyncio.Queue)
     attempts: int = 0
-    ready_ns: int = 0  # rule 5: no set-up before this
+    next_attempt_ns: int = 0  # rule 5: the release delay after the last attempt; no set-up before this
     last_cause: interface.Cause | None = None
-    switch_id: int = -1  # of the attempt that is out or stood
-    standing: bool = False
+    switch_id: int = -1  # of the last attempt
+    standing: bool = False  # answered, and not yet ended
     offered_ns: int = 0
     answered_ns: int = 0
-    sent_ns: int = 0
+    attempt_started_ns: int = 0  # start of the last attempt
     task: asyncio.Task[None] | None = None
 
     def caller_left(self, cause: int = ports.NORMAL_CLEARING) -> None:
-        """For the front: the caller gave up or hung up."""
+        """Called by the front when the caller gives up or hangs up."""
         self.signals.put_nowait(CallerLeft(cause))
 
     def stop(self) -> None:
-        """The gatekeeper ends: a call that stands is released on both sides."""
+        """Release the standing call on both sides, because the gatekeeper is stopping."""
         self.signals.put_nowait(CallerLeft(ports.TEMPORARY_FAILURE, reason=EndReason.STOPPED))
 
     def fail(self) -> None:
-        """The call cannot go on: its caller is told so."""
+        """Send the caller a failure, and end the call."""
         self.caller.fail(ports.TEMPORARY_FAILURE)
         self.signals.put_nowait(CallerLeft(ports.TEMPORARY_FAILURE, failed=True))
 
 
 class Gatekeeper:
+    """Serves calls. Fronts call offer(), the command channel list_changed(), and peers peer_message().
+
+    make_switch creates the adapter of a listed switch. It is called again when the address of the switch changes.
+    """
+
     def __init__(
         self,
         settings: interface.Settings,
@@ -76,39 +89,40 @@
         clock: Clock | None = None,
     ) -> None:
         self.settings = settings
-        self.former: interface.Settings | None = None  # those before the last change, for a moment
+        self.former_settings: interface.Settings | None = None  # until SETTINGS_OVERLAP_S after a change
         self.controller = Controller(settings, seed)
         self.make_switch = make_switch
         self.log = log
         self.clock = clock or Clock()
         self.messenger: ports.Messenger | None = None
-        self.recorder: Callable[[ports.CompletedCall], None] | None = None  # of each call that is over
+        self.recorder: Callable[[ports.CompletedCall], None] | None = None  # called at the end of each call
         self.calls: dict[int, Call] = {}
         self.listings: dict[str, SwitchListing] = {}
-        self.displaced: set[str] = set()  # switches listed at an address that another one has taken since
-        self.switch_names: dict[int, str] = {}  # the module's exchange ids to names, and back
+        # Listed switches whose address has since been listed for another switch.
+        self.displaced_names: set[str] = set()
+        # The controller knows switches by id only; switch_ids is the inverse.
+        self.switch_names: dict[int, str] = {}
         self.switch_ids: dict[str, int] = {}
         self.switches: dict[int, Switch] = {}
-        self.group_reports: dict[int, interface.LoadReport] = {}  # the last one of each group
+        self.group_reports: dict[int, interface.LoadReport] = {}  # last report of each trunk group
         self.call_ids = itertools.count(1)
         self.next_switch_id = itertools.count(1)
         self.tasks: set[asyncio.Task[Any]] = set()
         self.metrics = Metrics()
-        self.metrics.add_classes(kind.name for kind in settings.classes)
-        self.started = False  # its switches are dialled; it has been told the list
-        self.paused = False  # an operator has sent its callers elsewhere
+        self.metrics.add_classes(call_class.name for call_class in settings.classes)
+        self.started = False  # the switch list was received, and its switches were dialled
+        self.paused = False  # by an operator: callers are sent elsewhere
         self.ending = False
         self.not_paused = asyncio.Event()
         self.not_paused.set()
-        self.pause_listeners: list[
-            Callable[[bool], None]
-        ] = []  # fronts that send their callers away, or stop to
+        # Called with True at a pause and with False at its end, so that fronts shed their callers or keep them.
+        self.pause_listeners: list[Callable[[bool], None]] = []
 
-    # Whether it takes calls: one state, asked by every front and by the console
+    # Service state, which all fronts and the console use
 
     @property
     def accepts_callers(self) -> bool:
-        """Whether callers may come; while the process ends, what they bring is still served."""
+        """Whether callers may connect. While the process ends, their calls are still served."""
         return self.started and not self.paused
 
     @property
@@ -122,7 +136,7 @@
         return "paused" if self.paused else "serving" if self.started else "starting"
 
     def pause(self) -> None:
-        """Send callers away; what is open is served, what stands goes on. A second time changes nothing."""
+        """Shed callers. Open set-ups are still served, and answered calls continue. Does nothing if already paused."""
         self._set_paused(True)
 
     def resume(self) -> None:
@@ -133,13 +147,13 @@
             self.paused = paused
             self.not_paused.clear() if paused else self.not_paused.set()
             self.log("notice", "service", self.service_state, calls=len(self.calls))
-            for tell in self.pause_listeners:
-                tell(paused)
+            for notify in self.pause_listeners:
+                notify(paused)
 
-    # Its settings
+    # Settings
 
     def apply_settings(self, settings: interface.Settings) -> None:
-        """Other settings from now on, in one step. Who the program is, and where, stays as it started."""
+        """Replace the settings at once. The gatekeeper's own identity and place in the network stay as at the start."""
         former = self.settings
         self.settings = replace(
             settings,
@@ -148,34 +162,40 @@
             ordinal=former.ordinal,
             gatekeepers=former.gatekeepers,
         )
-        self.former = former
-        self.metrics.add_classes(kind.name for kind in settings.classes)
-        asyncio.get_running_loop().call_later(CROSSING_S, self._forget_former, former)
+        self.former_settings = former
+        self.metrics.add_classes(call_class.name for call_class in settings.classes)
+        asyncio.get_running_loop().call_later(SETTINGS_OVERLAP_S, self._drop_former_settings, former)
         self.consult(interface.SettingsChanged(self.settings))
 
-    def _forget_former(self, former: interface.Settings) -> None:
-        if self.former is former:
-            self.former = None
+    def _drop_former_settings(self, former: interface.Settings) -> None:
+        if self.former_settings is former:
+            self.former_settings = None
+
+    def _unusable_part(self, offer: Offer) -> str | None:
+        """Name of the part of the offer that is unusable; None if all of it is usable.
 
-    def _unusable(self, offer: Offer) -> str | None:
-        """Guards against failing what a caller sent before it knew of new settings."""
-        wrong = guard.unusable(self.settings, offer)
-        return wrong and guard.unusable(self.former, offer) if self.former else wrong
+        For a moment after a change the former settings are valid as well. Without this, set-ups that callers sent
+        before they knew of the new settings would fail.
+        """
+        part = guard.unusable(self.settings, offer)
+        return part and guard.unusable(self.former_settings, offer) if self.former_settings else part
 
-    # What fronts, switches, channel and peers tell
+    # Events from fronts, switches, the command channel and peers
 
     def offer(self, offer: Offer, caller: CallerLeg) -> Call | None:
-        """A call is offered; None if it was refused unheard."""
-        wrong = self._unusable(offer)
-        if wrong:
-            self.log("warning", "guard", f"a set-up with an unusable {wrong}", call=offer.wire_id)
+        """Start a call. Returns None if it was refused or failed on arrival, without consulting the controller."""
+        part = self._unusable_part(offer)
+        if part:
+            self.log("warning", "guard", f"set-up failed on arrival: unusable {part}", call=offer.wire_id)
             caller.fail(ports.INVALID_ELEMENT)
             self.metrics.count_verdict(Verdict.FAILURE, offer.class_name)
-            self._unheard(offer, "failed")
+            self._record_rejected(offer, "failed")
             return None
-        if len(self.calls) >= MOST_CALLS:
-            self.log("warning", "overfull", "too many open calls", call=offer.wire_id)
-            self._refuse_unheard(offer, caller)
+        if len(self.calls) >= MAX_OPEN_CALLS:
+            self.log(
+                "warning", "overfull", "set-up refused on arrival: too many open calls", call=offer.wire_id
+            )
+            self._refuse_on_arrival(offer, caller)
             return None
         margin_ms = min(DEADLINE_MARGIN_MS, offer.remaining_ms / 10)
         now_ns = self.clock.now_ns()
@@ -186,95 +206,116 @@
         return call
 
     def reject(self, offer: Offer, caller: CallerLeg) -> None:
-        """Refuse a call unheard: its connection stays for the calls that stand on it, and takes no new one."""
-        self.log("info", "call", "turned away", call=offer.wire_id, service=self.service_state)
-        self._refuse_unheard(offer, caller)
+        """Refuse a call on arrival, on a connection that is kept only for the standing calls on it."""
+        self.log(
+            "info",
+            "call",
+            "refused on arrival: the service takes no new calls",
+            call=offer.wire_id,
+            service=self.service_state,
+        )
+        self._refuse_on_arrival(offer, caller)
 
-    def _refuse_unheard(self, offer: Offer, caller: CallerLeg) -> None:
+    def _refuse_on_arrival(self, offer: Offer, caller: CallerLeg) -> None:
         caller.refuse(ports.CONGESTION, self.settings.max_retry_after_ns // 1_000_000)
         self.metrics.count_verdict(Verdict.BUSY, offer.class_name)
-        self._unheard(offer, "refused")
+        self._record_rejected(offer, "refused")
 
-    def list_changed(self, kind: interface.SwitchListKind, rows: Iterable[SwitchListing]) -> None:
-        rows = list(rows)
+    def list_changed(self, kind: interface.SwitchListKind, entries: Iterable[SwitchListing]) -> None:
+        """Apply a complete switch list or the changes to it, and pass the result on to the controller."""
+        entries = list(entries)
         if kind is not interface.SwitchListKind.CHANGES:
-            there = {row.name for row in rows}
-            gone = [name for name in self.listings if name not in there]
-            for name in gone:
-                self._unlist(name)
-        together = {row.name for row in rows}
-        exchanges = [self._enter(row, together) for row in rows]
-        told = {exchange.switch_id for exchange in exchanges}
+            listed_names = {entry.name for entry in entries}
+            removed_names = [name for name in self.listings if name not in listed_names]
+            for name in removed_names:
+                self._remove_listing(name)
+        event_names = {entry.name for entry in entries}
+        switches = [self._apply_listing(entry, event_names) for entry in entries]
+        included_ids = {switch.switch_id for switch in switches}
         if kind is interface.SwitchListKind.CHANGES:
-            displaced = (self.listings[name] for name in self.displaced)
-            exchanges += [row for row in map(self._as_gone, displaced) if row.switch_id not in told]
-        self.consult(interface.SwitchList(kind, tuple(exchanges)))
-
-    def _as_gone(self, row: SwitchListing) -> interface.CarrierSwitch:
-        return replace(row.as_carrier_switch(self.switch_ids[row.name]), state=interface.SwitchState.GONE)
-
-    def _enter(self, row: SwitchListing, together: set[str]) -> interface.CarrierSwitch:
-        """Take one entry; together are the names that discovery tells of in the same event."""
-        switch_id = self.switch_ids.get(row.name)
+            displaced = (self.listings[name] for name in self.displaced_names)
+            switches += [
+                switch for switch in map(self._as_gone, displaced) if switch.switch_id not in included_ids
+            ]
+        self.consult(interface.SwitchList(kind, tuple(switches)))
+
+    def _as_gone(self, entry: SwitchListing) -> interface.CarrierSwitch:
+        return replace(entry.as_carrier_switch(self.switch_ids[entry.name]), state=interface.SwitchState.GONE)
+
+    def _apply_listing(self, entry: SwitchListing, event_names: set[str]) -> interface.CarrierSwitch:
+        """Apply one entry of the switch list; event_names are the names of all entries in the same event."""
+        switch_id = self.switch_ids.get(entry.name)
         if switch_id is None:
-            switch_id = self.switch_ids[row.name] = next(self.next_switch_id)
-            self.switch_names[switch_id] = row.name
-        known = self.listings.get(row.name)
+            switch_id = self.switch_ids[entry.name] = next(self.next_switch_id)
+            self.switch_names[switch_id] = entry.name
+        previous = self.listings.get(entry.name)
         switch = self.switches.get(switch_id)
-        self._log_listing(row, known)
-        if row.state is not interface.SwitchState.IN_SERVICE and switch:
+        self._log_listing(entry, previous)
+        if entry.state is not interface.SwitchState.IN_SERVICE and switch:
             switch.stop_new_attempts()
-        if row.state is interface.SwitchState.GONE:
-            self._unlist(row.name)
-            return row.as_carrier_switch(switch_id)
-        if switch and known and known.address != row.address:
+        if entry.state is interface.SwitchState.GONE:
+            self._remove_listing(entry.name)
+            return entry.as_carrier_switch(switch_id)
+        if switch and previous and previous.address != entry.address:
             switch.retire()
             switch = None
-        if switch and known and row.started_ns and row.started_ns != known.started_ns:
-            switch.process_restarted(row.started_ns)
-        if known is None or known.address != row.address:
-            self.displaced.discard(row.name)
-            self._displace_others(row, together)
-        self.listings[row.name] = row
-        if row.name in self.displaced:
-            return self._as_gone(row)
-        if switch is None and row.exchange_number != self.settings.own_exchange:
+        if switch and previous and entry.started_ns and entry.started_ns != previous.started_ns:
+            switch.process_restarted(entry.started_ns)
+        if previous is None or previous.address != entry.address:
+            self.displaced_names.discard(entry.name)
+            self._displace_others(entry, event_names)
+        self.listings[entry.name] = entry
+        if entry.name in self.displaced_names:
+            return self._as_gone(entry)
+        if switch is None and entry.exchange_number != self.settings.own_exchange:
             self.switches[switch_id] = self.make_switch(
-                row.name, row.address, lambda report: self._group_report(switch_id, report)
+                entry.name, entry.address, lambda report: self._on_group_report(switch_id, report)
             )
-        return row.as_carrier_switch(switch_id)
+        return entry.as_carrier_switch(switch_id)
+
+    def _displace_others(self, entry: SwitchListing, event_names: set[str]) -> None:
+        """Cut the calls of switches that are listed at the address of this new entry, and close them to set-ups.
 
-    def _displace_others(self, row: SwitchListing, together: set[str]) -> None:
-        """Guards against calls that stand, and set-ups that are sent, at the address of a switch which has gone
-        without discovery's word, once another one is listed there."""
+        Discovery may not have reported that the earlier switch is gone. Without this, its calls would stay standing,
+        and set-ups for it would be sent to the switch that now has the address.
+        """
         for other in self.listings.values():
-            older = (other.started_ns or 0) <= (row.started_ns or 0)
-            if other.name in together or other.address != row.address or not older:
+            older = (other.started_ns or 0) <= (entry.started_ns or 0)
+            if other.name in event_names or other.address != entry.address or not older:
                 continue
             switch_id = self.switch_ids[other.name]
             switch = self.switches.get(switch_id)
             if switch and switch.uses_listed_address:
-                self.log("warning", "list", "the address is taken", switch=other.name, by=row.name)
-                self.displaced.add(other.name)
+                self.log(
+                    "warning",
+                    "list",
+                    "another switch is listed at the address; cutting the calls of the earlier one",
+                    switch=other.name,
+                    by=entry.name,
+                )
+                self.displaced_names.add(other.name)
                 del self.switches[switch_id]
                 switch.stop_new_attempts()
                 switch.retire(EndReason.ADDRESS_TAKEN)
 
-    def _log_listing(self, row: SwitchListing, known: SwitchListing | None) -> None:
-        """A line for each entry that is not as it was, so that its effects can be traced to it."""
-        if row == known:
+    def _log_listing(self, entry: SwitchListing, previous: SwitchListing | None) -> None:
+        """Log each entry that has changed, so that the effects can be traced to it."""
+        if entry == previous:
             return
         standing = sum(
-            call.standing for call in self.calls.values() if self.switch_names.get(call.switch_id) == row.name
+            call.standing
+            for call in self.calls.values()
+            if self.switch_names.get(call.switch_id) == entry.name
         )
         self.log(
-            "notice", "list", f"{known.state.value if known else 'unknown'} to {row.state.value}",
-            switch=row.name, address=row.address, started_ms=(row.started_ns or 0) // 1_000_000, standing=standing,
+            "notice", "list", f"{previous.state.value if previous else 'unknown'} to {entry.state.value}",
+            switch=entry.name, address=entry.address, started_ms=(entry.started_ns or 0) // 1_000_000,
+            standing=standing,
         )  # fmt: skip
 
-    def _unlist(self, name: str) -> None:
+    def _remove_listing(self, name: str) -> None:
         self.listings.pop(name, None)
-        self.displaced.discard(name)
+        self.displaced_names.discard(name)
         switch_id = self.switch_ids.pop(name, -1)
         self.switch_names.pop(switch_id, None)
         self.group_reports.pop(switch_id, None)
@@ -283,28 +324,37 @@
             switch.stop_new_attempts()
             switch.retire()
 
-    def _group_report(self, switch_id: int, report: interface.LoadReport) -> None:
+    def _on_group_report(self, switch_id: int, report: interface.LoadReport) -> None:
         if switch_id in self.switch_names:
             self.group_reports[switch_id] = report
         self.consult(interface.GroupReport(switch_id, interface.Outcome.ENDED, 0, report))
 
-    def _still(self, switch_id: int, report: interface.LoadReport | None) -> None:
-        """By identity: a newer state with the same figures may count set-ups that left since."""
+    def _restore_group_report(self, switch_id: int, report: interface.LoadReport | None) -> None:
+        """Apply the report again if no newer one has come.
+
+        Compared by identity: a newer report with the same values may include set-ups that were sent since.
+        """
         if report is not None and self.group_reports.get(switch_id) is report:
-            self._group_report(switch_id, report)
+            self._on_group_report(switch_id, report)
 
     def avoided_switches(self) -> set[str]:
-        """The listed switches that the module keeps calls from at this moment."""
+        """Names of the listed switches to which the controller sends no calls at the moment."""
         actions = self.controller.handle(self.clock.now_ns(), interface.AvoidedSwitchesQuery())
-        told = [action.switch_ids for action in actions if isinstance(action, interface.AvoidedSwitches)]
-        return {self.switch_names[one] for ids in told for one in ids if one in self.switch_names}
+        answers = [action.switch_ids for action in actions if isinstance(action, interface.AvoidedSwitches)]
+        return {
+            self.switch_names[switch_id]
+            for switch_ids in answers
+            for switch_id in switch_ids
+            if switch_id in self.switch_names
+        }
 
     def peer_message(self, sender: int, data: bytes) -> None:
         self.consult(interface.PeerMessage(sender, data))
 
-    # The module is asked, and its actions applied
+    # Events to the controller, and its actions
 
     def consult(self, event: interface.Event) -> None:
+        """Pass an event to the controller, and carry out the actions that it returns."""
         for action in self.controller.handle(self.clock.now_ns(), event):
             self._apply(action)
 
@@ -313,7 +363,7 @@
             case interface.SetUp(call_id) | interface.Refuse(call_id) | interface.Fail(call_id):
                 call = self.calls.get(call_id)
                 if call is None:
-                    self.log("warning", "guard", "an order for a call that is over", order=str(action))
+                    self.log("warning", "guard", "order ignored: its call has ended", order=str(action))
                 else:
                     call.signals.put_nowait(action)
             case interface.SetTimer(token, at_ns):
@@ -325,84 +375,98 @@
             case interface.Probe(switch_id):
                 self._probe(switch_id)
             case interface.CancelAttempt(call_id):
-                self.log("warning", "recall", "a recall is not in use here", call=call_id)
+                self.log(
+                    "warning",
+                    "recall",
+                    "order ignored: cancelling an attempt by order is not supported",
+                    call=call_id,
+                )
             case interface.SubscribeSwitchList():
-                self.log("info", "list", "the list comes unasked on the command channel")
+                self.log(
+                    "info", "list", "request ignored: the command channel sends the switch list without one"
+                )
             case interface.Log(text):
                 self.log("info", "module", text)
 
     def _probe(self, switch_id: int) -> None:
-        asked_ns, switch = self.clock.now_ns(), self.switches.get(switch_id)
+        requested_ns, switch = self.clock.now_ns(), self.switches.get(switch_id)
 
-        def tell(outcome: interface.Outcome, report: interface.LoadReport | None) -> None:
-            self.consult(interface.GroupReport(switch_id, outcome, self.clock.now_ns() - asked_ns, report))
+        def on_result(outcome: interface.Outcome, report: interface.LoadReport | None) -> None:
+            self.consult(
+                interface.GroupReport(switch_id, outcome, self.clock.now_ns() - requested_ns, report)
+            )
 
         if switch:
-            switch.probe(tell)
+            switch.probe(on_result)
 
-    # The life of a call
+    # From the offer of a call to its end
 
     async def _serve(self, call: Call) -> None:
         try:
             leg = await self._set_up(call)
             if leg is not None:
                 call.standing = True
-                await self._standing(call, leg)
+                await self._serve_standing(call, leg)
         except Exception:
-            # The last guard of rule 1: whatever went wrong here, the caller gets an answer, and it is logged.
+            # Rule 1: each caller gets one final answer, also after an internal error. The task logs the error.
             end = call.caller.release if call.standing else call.caller.fail
             end(ports.TEMPORARY_FAILURE)
             if call.standing:
                 self.metrics.call_ends[EndReason.INTERNAL] += 1
             else:
                 self.metrics.count_verdict(Verdict.FAILURE, call.offer.class_name)
-            self._over(call, "cut" if call.standing else "failed")
+            self._record_completed(call, "cut" if call.standing else "failed")
             raise
         finally:
             self.calls.pop(call.call_id, None)
 
     async def _set_up(self, call: Call) -> ports.SwitchLeg | None:
-        """Offered, decision, attempt, answer; the leg if the call stands, None if all is answered."""
-        if not call.signals.empty():  # taken back in the same breath: the module need not know
+        """Try to connect the call, over as many attempts as the controller orders.
+
+        Returns the switch's leg of the answered call, or None after a refusal, a failure, or the caller's leaving.
+        """
+        if not call.signals.empty():  # the caller left before this task started: the controller need not know
             first = call.signals.get_nowait()
-            assert isinstance(first, CallerLeft)  # there is no attempt yet, and no decision
-            self._final(call, first)
+            assert isinstance(first, CallerLeft)  # nothing else can come before the first decision
+            self._send_final_answer(call, first)
             return None
-        self.consult(self._offered(call))
+        self.consult(self._call_offered(call))
         while True:
-            order = await self._decision(call)
+            order = await self._next_order(call)
             if not isinstance(order, interface.SetUp):
-                self._final(call, order)
+                self._send_final_answer(call, order)
                 return None
-            leg, result = await self._attempt(call, order)
-            elapsed_ns = self.clock.now_ns() - call.sent_ns
+            leg, result = await self._run_attempt(call, order)
+            elapsed_ns = self.clock.now_ns() - call.attempt_started_ns
             if isinstance(result, Answered):
-                assert leg is not None  # what stands has a leg
-                stands = interface.CallAnswered(call.call_id, call.attempts - 1, order.switch_id, elapsed_ns)
-                self.consult(stands)
+                assert leg is not None  # an answer comes from a leg
+                answered = interface.CallAnswered(
+                    call.call_id, call.attempts - 1, order.switch_id, elapsed_ns
+                )
+                self.consult(answered)
                 if call.caller.answer(result.description):
                     self.metrics.count_verdict(Verdict.SUCCESS, call.offer.class_name)
                     call.answered_ns = self.clock.now_ns()
-                    self._record(call, "stands", elapsed_ns)
+                    self._log_call(call, "stands", elapsed_ns)
                     return leg
-                # Guards against a call left standing at the switch when its caller went as the answer came.
+                # The caller left just as the answer came. Without this, the call would stay standing at the switch.
                 leg.release(ports.NORMAL_CLEARING)
                 result = CallerLeft()
             if isinstance(result, CallerLeft):
                 self._abandon(call)
-                self._attempt_over(call, LegEnded(interface.Outcome.CANCELLED), final=True)
-                self._final(call, result, elapsed_ns)
+                self._report_attempt_end(call, LegEnded(interface.Outcome.CANCELLED), final=True)
+                self._send_final_answer(call, result, elapsed_ns)
                 return None
             if result.outcome in NEEDS_RELEASE:
-                call.ready_ns = self.clock.now_ns() + self.settings.release_delay_ns
+                call.next_attempt_ns = self.clock.now_ns() + self.settings.release_delay_ns
             call.last_cause = result.cause
-            doubtful = result.outcome in NEEDS_RELEASE or result.outcome is interface.Outcome.NO_ROUTE
-            level = "info" if doubtful else "debug"
-            self._record(call, f"attempt: {result.outcome.value}", elapsed_ns, level, result.reason)
-            self._attempt_over(call, result, final=False)
+            notable = result.outcome in NEEDS_RELEASE or result.outcome is interface.Outcome.NO_ROUTE
+            level = "info" if notable else "debug"
+            self._log_call(call, f"attempt: {result.outcome.value}", elapsed_ns, level, result.reason)
+            self._report_attempt_end(call, result, final=False)
 
-    async def _decision(self, call: Call) -> Order | CallerLeft:
-        """The module's next order for this call. It may hold the call; at the deadline the answer is owed."""
+    async def _next_order(self, call: Call) -> Order | CallerLeft:
+        """Wait for the controller's next order for the call. At the deadline the call fails without one."""
         try:
             async with asyncio.timeout_at(self.clock.loop_time(call.expires_ns)):
                 while True:
@@ -412,26 +476,29 @@
                     if isinstance(signal, CallerLeft):
                         break
         except TimeoutError:
-            self.log("warning", "guard", "no decision by the deadline", call=call.offer.wire_id)
+            self.log("warning", "guard", "call failed: no decision by its deadline", call=call.offer.wire_id)
             signal = interface.Fail(call.call_id)
         self._abandon(call)
         return signal
 
-    async def _attempt(
+    async def _run_attempt(
         self, call: Call, order: interface.SetUp
     ) -> tuple[ports.SwitchLeg | None, Answered | LegEnded | CallerLeft]:
-        """One attempt, until it stands, ends, times out, or the caller leaves. None is out afterwards."""
-        decided_ns = call.sent_ns = self.clock.now_ns()
+        """Run one attempt until it is answered, ends or times out, or until the caller leaves.
+
+        On return the attempt is answered, ended or cancelled: none is outstanding.
+        """
+        decided_ns = call.attempt_started_ns = self.clock.now_ns()
         call.attempts, call.switch_id = call.attempts + 1, order.switch_id
         name = self.switch_names.get(order.switch_id, "")
-        decided, switch = self.listings.get(name), self.switches.get(order.switch_id)
+        decided_listing, switch = self.listings.get(name), self.switches.get(order.switch_id)
         until_ns = call.expires_ns
         if order.timeout_ns:
             until_ns = min(until_ns, decided_ns + order.timeout_ns)
 
         def may_send() -> bool:
             objection = guard.objection(
-                self.settings, call.offer, call.attempts, call.ready_ns, until_ns, decided, decided_ns,
+                self.settings, call.offer, call.attempts, call.next_attempt_ns, until_ns, decided_listing, decided_ns,
                 self.listings.get(name), self.clock.now_ns(),
             )  # fmt: skip
             if objection:
@@ -440,15 +507,16 @@
 
         if switch is None:
             return None, LegEnded(interface.Outcome.NO_ROUTE)
-        wait_ms = max(1, (until_ns - decided_ns) // 1_000_000)
-        request = ports.SetUpRequest(call.offer, call.attempts - 1, wait_ms)
+        timeout_ms = max(1, (until_ns - decided_ns) // 1_000_000)
+        request = ports.SetUpRequest(call.offer, call.attempts - 1, timeout_ms)
         leg = switch.start_attempt(request, may_send, self.metrics.attempt_written, call.signals.put_nowait)
         result: Answered | LegEnded | CallerLeft = LegEnded(interface.Outcome.TIMED_OUT)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(self.clock.loop_time(until_ns)):
-                result = await self._attempt_signal(call)
+                result = await self._next_attempt_signal(call)
         if result == LegEnded(interface.Outcome.TIMED_OUT):
-            # Guards against losing an answer that came in the very turn of the time-out: it is queued.
+            # A signal that came in the same turn of the event loop as the time-out is still in the queue.
+            # Without this, an answer would be lost.
             while not call.signals.empty():
                 signal = call.signals.get_nowait()
                 if isinstance(signal, Answered | LegEnded | CallerLeft):
@@ -456,29 +524,29 @@
                     break
         if isinstance(result, CallerLeft) or result == LegEnded(interface.Outcome.TIMED_OUT):
             leg.cancel()
-            self._release_unheard(call, leg)
+            self._release_queued_answer(call, leg)
         return leg, result
 
-    async def _attempt_signal(self, call: Call) -> Answered | LegEnded | CallerLeft:
+    async def _next_attempt_signal(self, call: Call) -> Answered | LegEnded | CallerLeft:
         while True:
             signal = await call.signals.get()
             if isinstance(signal, Answered | LegEnded | CallerLeft):
                 return signal
 
-    def _release_unheard(self, call: Call, leg: ports.SwitchLeg) -> None:
-        """An answer that was queued behind the caller's leaving lost the race: release it at the switch."""
+    def _release_queued_answer(self, call: Call, leg: ports.SwitchLeg) -> None:
+        """Release the call at the switch if its answer is queued behind the time-out or the caller's leaving."""
         while not call.signals.empty():
             if isinstance(call.signals.get_nowait(), Answered):
                 leg.release(ports.NORMAL_CLEARING)
 
-    async def _standing(self, call: Call, leg: ports.SwitchLeg) -> None:
-        """Until the switch or the caller releases the call; the other side is told at once."""
+    async def _serve_standing(self, call: Call, leg: ports.SwitchLeg) -> None:
+        """Wait until the switch or the caller releases the answered call, and release it on the other side."""
         signal = await call.signals.get()
         while not isinstance(signal, LegEnded | CallerLeft):
             signal = await call.signals.get()
         if isinstance(signal, CallerLeft):
             leg.release(signal.cause)
-            self._attempt_over(call, LegEnded(interface.Outcome.CANCELLED), final=True)
+            self._report_attempt_end(call, LegEnded(interface.Outcome.CANCELLED), final=True)
             call.caller.release(signal.cause)
             ended_well = not signal.failed and signal.cause != ports.TEMPORARY_FAILURE
             reason = signal.reason
@@ -486,14 +554,14 @@
             ended_well = signal.outcome is interface.Outcome.ENDED
             reason = signal.reason or EndReason.SWITCH_RELEASED
             call.caller.release(ports.NORMAL_CLEARING if ended_well else ports.TEMPORARY_FAILURE)
-            self._attempt_over(call, signal, final=True)
+            self._report_attempt_end(call, signal, final=True)
         self.metrics.call_ends[reason] += 1
-        self._record(call, "released", self.clock.now_ns() - call.sent_ns, reason=reason)
-        self._over(call, "ended" if ended_well else "cut")
+        self._log_call(call, "released", self.clock.now_ns() - call.attempt_started_ns, reason=reason)
+        self._record_completed(call, "ended" if ended_well else "cut")
 
-    # Parts of it
+    # Events, log lines and records of a call
 
-    def _offered(self, call: Call) -> interface.CallOffered:
+    def _call_offered(self, call: Call) -> interface.CallOffered:
         offer = call.offer
         return interface.CallOffered(
             call_id=call.call_id,
@@ -508,20 +576,25 @@
             was_cut=offer.was_cut,
         )
 
-    def _attempt_over(self, call: Call, ended: LegEnded, final: bool) -> None:
-        """Tell the module. Where nothing left, the circuits it counted as taken are free as last reported."""
+    def _report_attempt_end(self, call: Call, ended: LegEnded, final: bool) -> None:
+        """Report the end of an attempt to the controller.
+
+        If nothing was sent, the circuits that the controller counted as taken are free, as last reported.
+        """
         report = ended.report
         if report is None and ended.outcome in (interface.Outcome.NO_ROUTE, interface.Outcome.NOT_SENT):
             report = self.group_reports.get(call.switch_id)
-        # Guards against a call that spends all its attempts in a moment on one full group: the state sent
-        # with 'no circuit' may be older than the refusal, which itself shows that none was free. Where no
-        # newer state comes, the last one held after all.
+        # The report sent with 'no circuit' may be older than the refusal, which itself shows that no circuit was
+        # free. Without this, a call could spend all its attempts on one full group within a moment. If no newer
+        # report comes, the last one was right and is applied again.
         no_circuit = ended.outcome is interface.Outcome.NOT_SENT and ended.cause is interface.Cause.NO_CIRCUIT
         if no_circuit and report and report.free is not None and report.free >= call.offer.circuits:
             last = self.group_reports.get(call.switch_id)
-            asyncio.get_running_loop().call_later(STALE_S, self._still, call.switch_id, last)
+            asyncio.get_running_loop().call_later(
+                REPORT_RESTORE_DELAY_S, self._restore_group_report, call.switch_id, last
+            )
             report = replace(report, free=0.0)
-        elapsed_ns = self.clock.now_ns() - call.sent_ns
+        elapsed_ns = self.clock.now_ns() - call.attempt_started_ns
         self.consult(
             interface.AttemptEnded(
                 call.call_id, call.attempts - 1, call.switch_id, ended.outcome, elapsed_ns, final,
@@ -530,49 +603,54 @@
         )  # fmt: skip
 
     def _abandon(self, call: Call) -> None:
-        """The module owes this call nothing more. A set-up that it ordered meanwhile never leaves."""
+        """Tell the controller that the call needs no more orders. A set-up already ordered is reported as not sent."""
         self.consult(interface.CallAbandoned(call.call_id))
         while not call.signals.empty():
             order = call.signals.get_nowait()
             if isinstance(order, interface.SetUp):
                 call.attempts, call.switch_id = call.attempts + 1, order.switch_id
-                call.sent_ns = self.clock.now_ns()
-                self._attempt_over(call, LegEnded(interface.Outcome.NOT_SENT), final=True)
+                call.attempt_started_ns = self.clock.now_ns()
+                self._report_attempt_end(call, LegEnded(interface.Outcome.NOT_SENT), final=True)
 
-    def _final(self, call: Call, order: Order | CallerLeft, elapsed_ns: int = 0) -> None:
-        """The final answer, unless the caller has left."""
+    def _send_final_answer(self, call: Call, order: Order | CallerLeft, elapsed_ns: int = 0) -> None:
+        """Send the final answer, unless the caller has left, and log and record the end of the call."""
         match order:
             case interface.Refuse(_, retry_after_ns):
-                pressed = call.last_cause in PROCESSOR_CAUSES
-                cause = ports.CONGESTION if pressed else ports.NO_CIRCUIT
+                processor_full = call.last_cause in PROCESSOR_CAUSES
+                cause = ports.CONGESTION if processor_full else ports.NO_CIRCUIT
                 call.caller.refuse(cause, retry_after_ns // 1_000_000)
                 self.metrics.count_verdict(Verdict.BUSY, call.offer.class_name)
-                self._record(call, "refused")
-                self._over(call, "refused")
+                self._log_call(call, "refused")
+                self._record_completed(call, "refused")
             case interface.Fail():
                 call.caller.fail(ports.TEMPORARY_FAILURE)
                 self.metrics.count_verdict(Verdict.FAILURE, call.offer.class_name)
-                self._record(call, "failed")
-                self._over(call, "failed")
+                self._log_call(call, "failed")
+                self._record_completed(call, "failed")
             case CallerLeft(failed=failed):
                 if failed:
                     self.metrics.count_verdict(Verdict.FAILURE, call.offer.class_name)
-                what = "failed" if failed else "given up"
-                self._record(call, what, elapsed_ns)
-                self._over(call, what)
+                verdict = "failed" if failed else "given up"
+                self._log_call(call, verdict, elapsed_ns)
+                self._record_completed(call, verdict)
 
-    def _record(
-        self, call: Call, what: str, elapsed_ns: int = 0, level: str = "info", reason: EndReason | None = None
+    def _log_call(
+        self,
+        call: Call,
+        event: str,
+        elapsed_ns: int = 0,
+        level: str = "info",
+        reason: EndReason | None = None,
     ) -> None:
         self.log(
-            level, "call", what, call=call.offer.wire_id, **{"class": call.offer.class_name},
+            level, "call", event, call=call.offer.wire_id, **{"class": call.offer.class_name},
             to=call.offer.destination, switch=self.switch_names.get(call.switch_id, ""), attempts=call.attempts,
             cause=call.last_cause.value if call.last_cause else "", ms=elapsed_ns // 1_000_000,
             reason=reason.value if reason else "",
         )  # fmt: skip
 
-    def _over(self, call: Call, verdict: str) -> None:
-        """Each call's last word, once, for the records that must be complete."""
+    def _record_completed(self, call: Call, verdict: str) -> None:
+        """Pass the ended call to the recorder. Done exactly once for each call, as the records must be complete."""
         if self.recorder:
             name = self.switch_names.get(call.switch_id, "")
             listing = self.listings.get(name)
@@ -584,40 +662,42 @@
                 )
             )  # fmt: skip
 
-    def _unheard(self, offer: Offer, verdict: str) -> None:
+    def _record_rejected(self, offer: Offer, verdict: str) -> None:
         if self.recorder:
             now_ns = self.clock.now_ns()
             self.recorder(ports.CompletedCall(offer, verdict, now_ns, now_ns))
 
-    # Running and ending
+    # Tasks and shutdown
 
-    def spawn(self, work: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
-        """A task whose exception is logged, and which is not lost while it runs."""
-        task = asyncio.get_running_loop().create_task(work, name=name)
+    def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
+        """Start a task. It is referenced while it runs, so that it is not collected, and its exception is logged."""
+        task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            self.log("error", "task", f"{task.get_name()} failed: {error!r}", trace=trace_of(error))
+            self.log("error", "task", f"{task.get_name()} failed: {error!r}", trace=format_trace(error))
 
     async def finish(self, seconds: float, keep_standing: bool = False) -> None:
-        """Let the calls end by themselves for so long, then fail what is unanswered and release what still
-        stands, unless another process serves on and it may stand for longer."""
+        """Wait up to this many seconds for all calls to end, then fail the unanswered and release the standing ones.
+
+        With keep_standing, standing calls continue: another process serves the callers, so this one may run on.
+        """
         loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
-        # Guards against missing the calls that come while others are waited for.
-        while self.calls and loop.time() < until:
+        deadline = loop.time() + seconds
+        # New calls may arrive during a wait, so the list is built again after each call that ends.
+        while self.calls and loop.time() < deadline:
             tasks = [call.task for call in self.calls.values() if call.task]
-            await asyncio.wait(tasks, timeout=until - loop.time(), return_when=asyncio.FIRST_COMPLETED)
-        left = [call for call in self.calls.values() if not (keep_standing and call.standing)]
-        rest = [call.task for call in left if call.task]
-        for call in left:
+            await asyncio.wait(tasks, timeout=deadline - loop.time(), return_when=asyncio.FIRST_COMPLETED)
+        remaining = [call for call in self.calls.values() if not (keep_standing and call.standing)]
+        tasks_to_end = [call.task for call in remaining if call.task]
+        for call in remaining:
             call.stop() if call.standing else call.fail()
-        if rest:
-            await asyncio.wait(rest, timeout=0.2)
+        if tasks_to_end:
+            await asyncio.wait(tasks_to_end, timeout=0.2)
 
     async def all_calls_ended(self) -> None:
         while tasks := [call.task for call in self.calls.values() if call.task]:
@@ -628,6 +708,7 @@
             switch.close()
 
 
-def trace_of(error: BaseException) -> str:
+def format_trace(error: BaseException) -> str:
+    """The three innermost frames of the traceback, innermost first, on one line."""
     frames = traceback.extract_tb(error.__traceback__)[-3:]
     return " < ".join(f"{frame.name}:{frame.lineno}" for frame in reversed(frames))
