--- a/tansyspur/__main__.py
+++ b/tansyspur/__main__.py
@@ -1,6 +1,9 @@
-"""The gatekeeper: `python -m tansyspur [--operator FILE]`; with a sub-command, one of its tools.
+"""Command line: `python -m tansyspur [--operator FILE]` runs the gatekeeper, a sub-command runs one of the tools.
 
-Exit codes: 0 ended as told, 1 cannot run (an address is taken, say), 2 an unusable configuration.
+Program creates the parts of the gatekeeper and connects them. It starts them, reloads the configuration at SIGHUP,
+takes over from a running process of the same name, hands over to the next one, and shuts down at SIGTERM or SIGINT.
+
+Exit codes: 0 ended on request, 1 cannot run (for example, an address is in use), 2 unusable configuration.
 """
 
 import argparse
@@ -35,28 +38,34 @@
 if TYPE_CHECKING:
     from tansyspur.cdr.export import CdrFile
 
-ACCEPT_S = 0.6  # after SIGTERM, new connections keep coming for 0.4 s
-EXIT_MARGIN_S = 0.45  # before the time at which SIGKILL may come: for the last words, and for the end itself
-KILL_AFTER_DEADLINE_S = 0.7  # SIGKILL comes no sooner after the longest deadline
-LONGEST_COUNTED_S = 3.0  # a longer deadline counts as this one
-LONGEST_REPLACED_S = 5.0  # or as this one, where another process takes the calls
-CURRENT_S = 2.5  # for the command channel's first number, which comes each second
-READY_S = 1.5  # a switch that cannot be dialled must not keep the gatekeeper from its test for longer
+ACCEPT_AFTER_SIGTERM_S = 0.6  # new connections keep arriving for 0.4 s after SIGTERM
+EXIT_MARGIN_S = 0.45  # for the last messages and the exit itself, before SIGKILL may come
+KILL_AFTER_DEADLINE_S = 0.7  # SIGKILL comes at least this long after the longest deadline of a class
+MAX_COUNTED_DEADLINE_S = 3.0  # the platform counts a longer deadline as this one
+MAX_COUNTED_DEADLINE_REPLACED_S = 5.0  # or as this one, if another process takes over the callers
+CHANNEL_CATCH_UP_TIMEOUT_S = 2.5  # the command channel sends a cursor each second
+FIRST_DIAL_TIMEOUT_S = 1.5  # an unreachable switch must not delay the gatekeeper's readiness for longer
+
 
+def earliest_kill_s(max_deadline_s: float, counted_s: float = MAX_COUNTED_DEADLINE_S) -> float:
+    """The shortest time from SIGTERM to the platform's SIGKILL, in seconds.
 
-def earliest_kill_s(longest_deadline_s: float, counted_s: float = LONGEST_COUNTED_S) -> float:
-    """How long after SIGTERM the platform's SIGKILL may come at the earliest."""
-    return min(counted_s, longest_deadline_s) + KILL_AFTER_DEADLINE_S
+    Deadlines longer than counted_s count as counted_s.
+    """
+    return min(counted_s, max_deadline_s) + KILL_AFTER_DEADLINE_S
 
 
 class Program:
-    """The parts, wired; and how they start, change, and end."""
+    """The gatekeeper process. Must be created in the running event loop.
+
+    Raises OSError if an address is in use.
+    """
 
-    def __init__(self, config: configuration.Config, log: Syslog, operator: str | None) -> None:
-        self.config, self.log, self.operator = config, log, operator
+    def __init__(self, config: configuration.Config, log: Syslog, operator_path: str | None) -> None:
+        self.config, self.log, self.operator_path = config, log, operator_path
         self.loop = asyncio.get_running_loop()
-        self.stop = asyncio.Event()
-        self.sip: list[SipSwitch] = []
+        self.stop_requested = asyncio.Event()
+        self.sip_switches: list[SipSwitch] = []
         self.bridge, self.rng = Bridge(), random.Random(config.seed)
         self.registrar = Registrar(config.iax2.peers if config.iax2 else {}, self.rng, log)
         self.endpoint = Endpoint(log, self.rng)
@@ -67,13 +76,18 @@
         self.channel = Channel(
             config.channel, self.gatekeeper.list_changed, self.gatekeeper.spawn, log, self.gatekeeper.metrics
         )
-        # Of the process before this one, as long as it lives, and for the one after it.
+        # Listening sockets: taken from the predecessor if one runs, and offered to the successor.
         path = handover.socket_path(config.name)
-        asked = handover.request_sockets(path, log) if path else None
-        self.sockets, self.line = asked or ({}, None)
+        inherited = handover.request_sockets(path, log) if path else None
+        self.sockets, self.predecessor_socket = inherited or ({}, None)
         self.predecessor: Partner | None = None
         self.handover = path and Handover(
-            path, self.sockets, self.from_successor, self.successor_changed, self.gatekeeper.spawn, log
+            path,
+            self.sockets,
+            self.on_successor_message,
+            self.on_successor_changed,
+            self.gatekeeper.spawn,
+            log,
         )
         if "callers" not in self.sockets:
             self.sockets["callers"] = handover.bind_socket(*config.listen)
@@ -83,33 +97,35 @@
                     *parse_address(config.peer_listen), socket.SOCK_DGRAM
                 )
             self.gatekeeper.messenger = self.peers
-        self.front = JsonLinesFront(self.gatekeeper, log, self.most_links(), self.sockets["callers"])
+        self.front = JsonLinesFront(self.gatekeeper, log, self.max_connections(), self.sockets["callers"])
         self.iax2_front = self.make_iax2_front(config.iax2) if config.iax2 else None
 
     def make_switch(
         self, name: str, address: str, on_report: Callable[[interface.LoadReport], None]
     ) -> Switch:
         iax2 = self.config.iax2
-        by_iax2 = iax2.switches.get(name) if iax2 else None
-        if iax2 and by_iax2:
+        iax2_switch = iax2.switches.get(name) if iax2 else None
+        if iax2 and iax2_switch:
             return Iax2Switch(
                 name,
                 self.endpoint,
                 self.registrar,
                 self.bridge,
-                iax2.peers[by_iax2.peer],
+                iax2.peers[iax2_switch.peer],
                 iax2.username,
-                by_iax2.circuits,
-                by_iax2.context,
-                by_iax2.qualify_s,
+                iax2_switch.circuits,
+                iax2_switch.context,
+                iax2_switch.qualify_s,
                 on_report,
                 self.log,
             )
-        self.sip = [one for one in self.sip if not one.retired]
+        self.sip_switches = [switch for switch in self.sip_switches if not switch.retired]
         metrics, dial_timeout_s = self.gatekeeper.metrics, self.config.dial_timeout_s
         steady_since = self.discovery_steady_since
-        self.sip.append(SipSwitch(name, address, on_report, self.log, dial_timeout_s, metrics, steady_since))
-        return self.sip[-1]
+        self.sip_switches.append(
+            SipSwitch(name, address, on_report, self.log, dial_timeout_s, metrics, steady_since)
+        )
+        return self.sip_switches[-1]
 
     def discovery_steady_since(self) -> float | None:
         return self.channel.steady_since
@@ -118,8 +134,11 @@
         from tansyspur.cdr.export import CdrFile
         from tansyspur.cdr.record import record_from_call
 
-        records, own = CdrFile(path, self.config.name, self.log), self.config.settings.own_exchange or 0
-        self.gatekeeper.recorder = lambda over: records(record_from_call(over, own))
+        records, own_exchange = (
+            CdrFile(path, self.config.name, self.log),
+            self.config.settings.own_exchange or 0,
+        )
+        self.gatekeeper.recorder = lambda completed: records(record_from_call(completed, own_exchange))
         return records
 
     def make_iax2_front(self, iax2: configuration.Iax2Config) -> Iax2Front:
@@ -134,8 +153,8 @@
             iax2.allow_guests,
         )
 
-    def most_links(self) -> int:
-        """Two processes share one budget of descriptors, one has it all."""
+    def max_connections(self) -> int:
+        """Limit of callers' connections. During a hand-over, both processes share one budget of file descriptors."""
         shared = self.predecessor or self.handover and self.handover.successor
         return self.config.limits.sockets * (3 if shared else 6) // 10
 
@@ -143,7 +162,7 @@
 
     async def run(self) -> int:
         for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.stop.set)
+            self.loop.add_signal_handler(number, self.stop_requested.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         if self.config.console:
             self.gatekeeper.spawn(self.console.open(*self.config.console), "console")
@@ -151,29 +170,31 @@
             self.records.start()
         self.channel.load_known_events(dict(self.config.known_events))
         self.channel.start()
-        if self.line:
-            await self.take_over(self.line)
+        if self.predecessor_socket:
+            await self.take_over(self.predecessor_socket)
         else:
-            await self.serve_callers()
+            await self.start_serving()
             if self.config.iax2:
                 await self.open_iax2(self.config.iax2)
-            self.gatekeeper.spawn(self.until_dialled(), "start").add_done_callback(self.started)
+            self.gatekeeper.spawn(self.wait_for_first_dials(), "start").add_done_callback(self.mark_started)
         address = ":".join(map(str, self.config.listen))
         self.log("notice", "start", "listening", name=self.config.name, address=address)
-        await self.stop.wait()
-        await self.end()
+        await self.stop_requested.wait()
+        await self.shut_down()
         return 0
 
-    def started(self, _: object = None) -> None:
+    def mark_started(self, _: object = None) -> None:
         self.gatekeeper.started = True
 
-    async def until_dialled(self) -> None:
+    async def wait_for_first_dials(self) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(READY_S):
-                while waited := [one for one in self.sip if not one.first_dial_done.is_set()]:
-                    await waited[0].first_dial_done.wait()
+            async with asyncio.timeout(FIRST_DIAL_TIMEOUT_S):
+                while pending := [
+                    switch for switch in self.sip_switches if not switch.first_dial_done.is_set()
+                ]:
+                    await pending[0].first_dial_done.wait()
 
-    async def serve_callers(self) -> None:
+    async def start_serving(self) -> None:
         await self.front.start_accepting()
         if "peers" in self.sockets:
             await self.peers.open(self.sockets["peers"])
@@ -191,61 +212,75 @@
             peer = iax2.peers[name]
             Registration(self.endpoint, peer, iax2.username, refresh_s, self.log).start()
 
-    # Another process at the same address
+    # Hand-over from the predecessor and to the successor
+
+    async def take_over(self, predecessor_socket: socket.socket) -> None:
+        """Start serving when this process has the switch list and its connections, or when the predecessor exits.
 
-    async def take_over(self, line: socket.socket) -> None:
-        """The predecessor serves until this process knows as much as it does, unless it goes before."""
-        reader, writer = await asyncio.open_unix_connection(sock=line)
-        predecessor = self.predecessor = Partner(reader, writer, self.from_predecessor)
+        Until then the predecessor serves the callers.
+        """
+        reader, writer = await asyncio.open_unix_connection(sock=predecessor_socket)
+        predecessor = self.predecessor = Partner(reader, writer, self.on_predecessor_message)
         self.gatekeeper.spawn(predecessor.run(), "predecessor")
-        self.gatekeeper.spawn(self.until_alone(predecessor), "until alone")
-        self.front.set_connection_limit(self.most_links())
+        self.gatekeeper.spawn(
+            self.after_predecessor_exit(predecessor), "wait for the exit of the predecessor"
+        )
+        self.front.set_connection_limit(self.max_connections())
         self.front.send_to_other_process = predecessor.send
-        self.log("notice", "handover", "taking over", sockets=",".join(self.sockets))
+        self.log("notice", "handover", "taking over from the predecessor", sockets=",".join(self.sockets))
         waits = [
-            self.gatekeeper.spawn(self.as_informed(), "informed"),
-            self.gatekeeper.spawn(self.stop_or_gone(predecessor), "stop or gone"),
+            self.gatekeeper.spawn(self.wait_until_informed(), "wait for the switch list"),
+            self.gatekeeper.spawn(
+                self.wait_for_stop_or_exit(predecessor), "wait for stop or the exit of the predecessor"
+            ),
         ]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
-        if not self.stop.is_set():
-            await self.serve_callers()
+        if not self.stop_requested.is_set():
+            await self.start_serving()
             predecessor.send("serving")
-            self.started()
+            self.mark_started()
 
-    async def as_informed(self) -> None:
+    async def wait_until_informed(self) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(CURRENT_S):
+            async with asyncio.timeout(CHANNEL_CATCH_UP_TIMEOUT_S):
                 await self.channel.caught_up.wait()
-        await self.until_dialled()
-        await self.gatekeeper.not_paused.wait()  # a process that sends callers away takes none over
+        await self.wait_for_first_dials()
+        await self.gatekeeper.not_paused.wait()  # a paused process takes over no callers
 
-    async def stop_or_gone(self, predecessor: Partner) -> None:
-        waits = [asyncio.ensure_future(one.wait()) for one in (self.stop, predecessor.gone)]
+    async def wait_for_stop_or_exit(self, predecessor: Partner) -> None:
+        waits = [asyncio.ensure_future(event.wait()) for event in (self.stop_requested, predecessor.gone)]
         try:
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         finally:
             for wait in waits:
                 wait.cancel()
 
-    async def until_alone(self, predecessor: Partner) -> None:
+    async def after_predecessor_exit(self, predecessor: Partner) -> None:
         await predecessor.gone.wait()
         self.predecessor = self.front.send_to_other_process = None
-        self.front.set_connection_limit(self.most_links())
+        self.front.set_connection_limit(self.max_connections())
         self.log("notice", "handover", "the predecessor has gone")
         if self.config.iax2:
-            # A call's frames come to its own process only, so the predecessor had the address to its end.
+            # All frames of a call must reach the process that holds it, so the predecessor kept the IAX2 address until
+            # its exit.
             await self.open_iax2(self.config.iax2)
 
-    def from_predecessor(self, row: dict[str, Any]) -> None:
+    def on_predecessor_message(self, row: dict[str, Any]) -> None:
         if row["type"] == "release":
             self.front.release_for_other_process(row)
 
-    def from_successor(self, successor: Partner, row: dict[str, Any]) -> None:
-        """It serves: nothing new comes here, and what finds no connection here may find one there."""
+    def on_successor_message(self, successor: Partner, row: dict[str, Any]) -> None:
+        """Handle a message: the successor serves the callers from now on, or passes a release on."""
         if row["type"] == "serving":
-            self.log("notice", "handover", "the successor serves", calls=len(self.gatekeeper.calls))
+            # Nothing new is accepted here, and releases without a connection here are sent through the successor.
+            self.log(
+                "notice",
+                "handover",
+                "the successor serves; no longer accepting callers",
+                calls=len(self.gatekeeper.calls),
+            )
             self.front.stop_accepting()
             self.peers.close()
             self.gatekeeper.messenger = None
@@ -254,40 +289,42 @@
         elif row["type"] == "release":
             self.front.release_from_other_process(row)
 
-    def successor_changed(self) -> None:
-        self.front.set_connection_limit(self.most_links())
+    def on_successor_changed(self) -> None:
+        self.front.set_connection_limit(self.max_connections())
         if self.handover and not self.handover.successor and self.front.handed_over:
-            # It has gone before it was needed, or we end and do so alone.
+            # The successor exited, either before this process was stopped or while it finishes its calls.
             self.front.send_to_other_process, self.front.handed_over = None, False
             if not self.gatekeeper.ending:
-                self.gatekeeper.spawn(self.serve_callers(), "take up again")
+                self.gatekeeper.spawn(self.start_serving(), "serve callers again")
 
-    # Changing
+    # Reload
 
     def reload(self) -> None:
-        """Take the new file whole, or keep to the old one; no call notices."""
+        """Apply the new configuration completely, or keep the old one. Open calls are not affected."""
         try:
-            fresh = configuration.load(operator_path=self.operator, running=self.config)
+            fresh = configuration.load(operator_path=self.operator_path, running=self.config)
         except configuration.ConfigError as error:
             self.gatekeeper.metrics.rejected_reloads += 1
-            return self.log("error", "reload", f"the old configuration stays: {error}")
-        kept = {key: getattr(self.config, key) for key in configuration.RESTART_ONLY_KEYS}
-        later = [key for key, value in kept.items() if getattr(fresh, key) != value]
+            return self.log(
+                "error", "reload", f"new configuration rejected; the old configuration stays: {error}"
+            )
+        fixed = {key: getattr(self.config, key) for key in configuration.RESTART_ONLY_KEYS}
+        at_next_start = [key for key, value in fixed.items() if getattr(fresh, key) != value]
         if configuration.without_numbers(fresh.iax2) != configuration.without_numbers(self.config.iax2):
-            later.append("iax2")
+            at_next_start.append("iax2")
         self.log(
             "notice",
             "reload",
             "configuration read",
             channel=fresh.channel,
-            classes=",".join(kind.name for kind in fresh.settings.classes),
-            **({"at_next_start": ",".join(later)} if later else {}),
+            classes=",".join(call_class.name for call_class in fresh.settings.classes),
+            **({"at_next_start": ",".join(at_next_start)} if at_next_start else {}),
         )
-        self.config = replace(fresh, iax2=self.config.iax2, **kept)
+        self.config = replace(fresh, iax2=self.config.iax2, **fixed)
         self.gatekeeper.metrics.reloads += 1
         self.log.set_level(fresh.syslog.level)
         self.gatekeeper.apply_settings(fresh.settings)
-        for switch in self.sip:
+        for switch in self.sip_switches:
             switch.dial_timeout_s = fresh.dial_timeout_s
         if self.iax2_front and fresh.iax2:
             self.iax2_front.set_numbers(fresh.iax2.numbers)
@@ -295,59 +332,63 @@
         if self.records:
             self.records.reopen()
 
-    # Ending
+    # Shutdown
 
-    async def end(self) -> None:
-        gatekeeper, stopped = self.gatekeeper, self.loop.time()
-        self.log("notice", "stop", "finishing what was taken", calls=len(gatekeeper.calls))
+    async def shut_down(self) -> None:
+        """Finish the open calls in the time before SIGKILL may come, and close everything."""
+        gatekeeper, stopped_at = self.gatekeeper, self.loop.time()
+        self.log("notice", "stop", "shutting down; finishing the open calls", calls=len(gatekeeper.calls))
         gatekeeper.ending = True
         self.endpoint.is_available = lambda: False
         successor = self.handover.successor if self.handover else None
-        longest_s = self.config.max_deadline_s
+        max_deadline_s = self.config.max_deadline_s
         if successor and successor.serving:
-            self.front.stop_closing_connections()  # of a pause, which keeps a connection for longer
+            self.front.stop_closing_connections()  # a pause keeps connections for longer
             self.front.close_idle_connections()
             self.endpoint.on_new = reject_new_leg
-            until = stopped + earliest_kill_s(longest_s, LONGEST_REPLACED_S) - EXIT_MARGIN_S
-            await gatekeeper.finish(until - self.loop.time(), keep_standing=True)
-            # Guards against set-ups that come, and go down with us, on a connection never without one.
+            deadline = (
+                stopped_at + earliest_kill_s(max_deadline_s, MAX_COUNTED_DEADLINE_REPLACED_S) - EXIT_MARGIN_S
+            )
+            await gatekeeper.finish(deadline - self.loop.time(), keep_standing=True)
+            # Without this, new set-ups could arrive on a connection that is never idle, and be lost at the exit.
             self.front.close_connections()
-            # What stands goes on until its end, or until we are killed.
-            over = [
+            # Standing calls continue until they end, the successor exits, or this process is killed.
+            waits = [
                 asyncio.ensure_future(wait) for wait in (gatekeeper.all_calls_ended(), successor.gone.wait())
             ]
-            await asyncio.wait(over, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
             await gatekeeper.finish(0)
         else:
-            await asyncio.sleep(ACCEPT_S)
+            await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             self.front.stop_accepting()
-            # Guards against connections that come up in a queue which nobody serves any more.
+            # Without this, the kernel would go on queueing connections that nobody accepts.
             self.sockets["callers"].close()
             self.endpoint.on_new = reject_new_leg
             self.front.close_idle_connections_until_exit()
-            until = stopped + earliest_kill_s(longest_s) - EXIT_MARGIN_S
-            await gatekeeper.finish(until - self.loop.time())
+            deadline = stopped_at + earliest_kill_s(max_deadline_s) - EXIT_MARGIN_S
+            await gatekeeper.finish(deadline - self.loop.time())
         self.front.stop_closing_connections()
         self.front.close_connections()
         gatekeeper.close()
         self.peers.close()
         self.console.close()
-        await asyncio.sleep(0.1)  # the last releases leave, and what crossed the close is dropped
+        await asyncio.sleep(0.1)  # the last releases are sent; messages that arrive meanwhile are dropped
         self.endpoint.close()
         if self.records:
             await self.records.close()
 
 
-async def serve(config: configuration.Config, log: Syslog, operator: str | None) -> int:
+async def serve(config: configuration.Config, log: Syslog, operator_path: str | None) -> int:
+    """Run the gatekeeper until it is stopped. Returns the exit code."""
     asyncio.get_running_loop().set_exception_handler(
         lambda _, context: log("error", "loop", str(context.get("exception") or context["message"]))
     )
-    return await Program(config, log, operator).run()
+    return await Program(config, log, operator_path).run()
 
 
 def main() -> int:
     if sys.argv[1:] and not sys.argv[1].startswith("--op"):
-        return tool(sys.argv[1:])
+        return run_tool(sys.argv[1:])
     parser = argparse.ArgumentParser(prog="tansyspur", description="The gatekeeper of one store switch.")
     parser.add_argument("--operator", metavar="FILE", help="the operator's TOML file, see deploy/")
     arguments = parser.parse_args()
@@ -366,15 +407,15 @@
         log.close()
 
 
-def tool(arguments: list[str]) -> int:
-    """The libraries of the tools are theirs alone: the gatekeeper starts without any."""
+def run_tool(arguments: list[str]) -> int:
+    """Run a sub-command. Imported only here, as the gatekeeper must start without the libraries of the tools."""
     try:
         from tansyspur.cli.main import main as command_line
-    except ModuleNotFoundError as missing:
-        if missing.name and missing.name.startswith("tansyspur"):
+    except ModuleNotFoundError as error:
+        if error.name and error.name.startswith("tansyspur"):
             raise
         print("tansyspur: [--operator FILE] starts the gatekeeper", file=sys.stderr)
-        print(f"the tools need {missing.name}: pip install 'tansyspur[tools]'", file=sys.stderr)
+        print(f"the tools need {error.name}: pip install 'tansyspur[tools]'", file=sys.stderr)
         return 1
     return command_line(arguments)
 
--- a/tansyspur/core/gatekeeper.py
+++ b/tansyspur/core/gatekeeper.py
@@ -51,13 +51,13 @@
     expires_ns: int  # when the final answer is due
     signals: asyncio.Queue[ports.Signal | Order] = field(default_factory=asyncio.Queue)
     attempts: int = 0
-    next_attempt_ns: int = 0  # rule 5: the release delay after the last attempt; no set-up before this
+    next_attempt_ns: int = 0  # rule 5: no set-up before this, as the last attempt may still hold circuits
     last_cause: interface.Cause | None = None
     switch_id: int = -1  # of the last attempt
     standing: bool = False  # answered, and not yet ended
     offered_ns: int = 0
     answered_ns: int = 0
-    attempt_started_ns: int = 0  # start of the last attempt
+    attempt_started_ns: int = 0  # of the last attempt
     task: asyncio.Task[None] | None = None
 
     def caller_left(self, cause: int = ports.NORMAL_CLEARING) -> None:
@@ -77,7 +77,8 @@
 class Gatekeeper:
     """Serves calls. Fronts call offer(), the command channel list_changed(), and peers peer_message().
 
-    make_switch creates the adapter of a listed switch. It is called again when the address of the switch changes.
+    seed is for the random numbers of the controller. make_switch creates the adapter of a listed switch. It is called
+    again when the address of the switch changes.
     """
 
     def __init__(
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,7 @@
-"""What staff and platform do to a gatekeeper in service: replace, pause, retune and ask it."""
+"""Operation of a running gatekeeper: hand-over to the next process, pause, reload, metrics, console and shutdown.
+
+Guards against lost calls, lost releases and connections that nobody serves while staff or the platform do these.
+"""
 
 import asyncio
 import contextlib
@@ -15,19 +18,19 @@
 from tests.world import LONG, S, Switch, World, settings
 
 
-async def over(process):
+async def wait_for_exit(process):
     async with asyncio.timeout(LONG):
         return await process.wait()
 
 
 @program
 async def test_the_next_process_takes_over_and_no_call_is_lost():
-    # Guards against a gap between two processes: callers, switches and peers must see one gatekeeper.
+    # Callers, switches and peers must see one gatekeeper, without a gap between the two processes.
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent", "answer"])
     async with World(switch, slow) as world:
         caller, waiting = await world.caller(), await world.caller()
-        told, hung_up = caller.set_up(1), caller.set_up(1)
-        for call in (told, hung_up):
+        released, hung_up = caller.set_up(1), caller.set_up(1)
+        for call in (released, hung_up):
             await caller.next(call, "answer")
         open_call = waiting.set_up(2, left=9000)
         await slow.next("INVITE", open_call)
@@ -35,26 +38,26 @@
         old = await world.replace()
         assert (await world.console("STATUS", old_console)).startswith("+OK")  # both serve until SIGTERM
         old.send_signal(signal.SIGTERM)
-        # A caller that comes now is served by the new process, whatever the old one still has to do.
+        # A new caller is served by the new process, even if the old one still has open calls.
         assert await caller.silent(LONG)  # closed, as no set-up is open on it
         newcomer = await world.caller()
         assert (await newcomer.next(newcomer.set_up(1)))["type"] == "answer"
         assert (await world.console("STATUS", old_console)).startswith("-ERR ending")
-        # The set-up that was open is answered where it came, and its connection closed after that.
+        # The open set-up is answered on its own connection, which is closed after that.
         slow.act("answer", open_call)
         assert (await waiting.next(open_call))["type"] == "answer" and await waiting.silent(LONG)
-        # The ends of the old one's calls pass between the two processes.
-        switch.bye(told)
-        assert (await newcomer.next(told))["type"] == "release"
+        # Releases of the old process's calls pass between the two processes.
+        switch.bye(released)
+        assert (await newcomer.next(released))["type"] == "release"
         newcomer.say("release", hung_up, cause=16)
         assert (await newcomer.next(hung_up))["type"] == "released"
         await switch.next("BYE", hung_up)
-        assert old.returncode is None  # one call stands, and is not cut
+        assert old.returncode is None  # one call is still standing, and is not cut
         slow.bye(open_call)
         assert (await newcomer.next(open_call))["type"] == "release"
-        assert await over(old) == 0
+        assert await wait_for_exit(old) == 0
         await world.logged("the predecessor has gone")
-        # And once more, from the one that took over.
+        # The process that took over can be replaced as well.
         old = await world.replace()
         old.send_signal(signal.SIGTERM)
         assert await newcomer.silent(LONG)
@@ -63,13 +66,13 @@
 
 
 @program
-async def test_no_connection_outlives_the_time_for_answers_though_a_call_stands():
-    # Guards against set-ups that come to the old process on a connection that is never idle, and die with it.
+async def test_connections_are_closed_after_the_time_for_answers_even_if_a_call_stands():
+    # Without this, set-ups would reach the old process on a connection that is never idle, and be lost at its exit.
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
-    made = settings()
-    for kind in made["classes"]:
-        kind["deadline-ns"] = 2 * S
-    async with World(switch, slow, classes=made["classes"]) as world:
+    changed = settings()
+    for call_class in changed["classes"]:
+        call_class["deadline-ns"] = 2 * S
+    async with World(switch, slow, classes=changed["classes"]) as world:
         caller, busy = await world.caller(), await world.caller()
         standing = caller.set_up(1, left=1500)
         await caller.next(standing, "answer")
@@ -83,19 +86,19 @@
                 busy.set_up(2, left=2000)
                 await asyncio.sleep(0.005)
         assert open_call in {json.loads(line)["id"] for line in answers.result().splitlines()}
-        assert old.returncode is None  # it lives on for the call that stands
+        assert old.returncode is None  # it runs on for the standing call
         newcomer = await world.caller()
         assert (await newcomer.next(newcomer.set_up(1, left=1500)))["type"] == "answer"
 
 
 @program
-async def test_peers_are_heard_and_written_to_by_the_one_that_serves():
+async def test_the_serving_process_exchanges_messages_with_peers():
     async with World(Switch("s-1", 1)) as world:
         loop, readings = asyncio.get_running_loop(), []
         old = await world.replace()
         old.send_signal(signal.SIGTERM)
-        await over(old)
-        while True:  # what the old one had sent
+        await wait_for_exit(old)
+        while True:  # discard what the old process had sent
             try:
                 world.peer.recv(512)
             except BlockingIOError:
@@ -110,18 +113,18 @@
 
 
 @program
-async def test_if_the_next_process_dies_the_old_one_takes_up_again():
+async def test_if_the_next_process_dies_the_old_one_serves_again():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         old_console = world.console_port
         old = await world.replace()
         world.process.kill()
-        await over(world.process)
+        await wait_for_exit(world.process)
         await world.logged("the successor has gone")
         world.process, world.console_port = old, old_console
         caller = await world.caller()
         assert (await caller.next(caller.set_up(1)))["type"] == "answer"
-        next_old = await world.replace()  # and may still be replaced
+        next_old = await world.replace()  # the old process can still be replaced
         next_old.send_signal(signal.SIGTERM)
         caller = await world.caller()
         assert (await caller.next(caller.set_up(1)))["type"] == "answer"
@@ -129,38 +132,38 @@
 
 @pytest.mark.parametrize("stale", ["dead", "file", "mute"])
 @program
-async def test_what_an_earlier_process_left_does_not_hinder_a_start(stale):
-    # "mute": a predecessor that hangs. Its socket in $TMPDIR takes the connection and says nothing.
+async def test_a_stale_or_unresponsive_hand_over_socket_does_not_prevent_a_start(stale):
+    # "mute": a predecessor that hangs. Its socket in $TMPDIR accepts the connection and sends nothing.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
-        place = Path(world.folder.name, "tansyspur-n0.sock")
-        assert place.is_socket()
-        place.unlink()
+        socket_path = Path(world.folder.name, "tansyspur-n0.sock")
+        assert socket_path.is_socket()
+        socket_path.unlink()
         leftover = socket.socket(socket.AF_UNIX)
         if stale == "file":
-            place.write_text("left over")
+            socket_path.write_text("left over")
         else:
-            leftover.bind(str(place))
+            leftover.bind(str(socket_path))
         if stale == "mute":
             leftover.listen()
         old = await world.replace()
         await world.logged("no predecessor answers")
         old.kill()
-        await over(old)
+        await wait_for_exit(old)
         leftover.close()
         caller = await world.caller()
         assert (await caller.next(caller.set_up(1)))["type"] == "answer"
 
 
 @program
-async def test_paused_it_sends_callers_away_and_resumed_it_has_them_back():
+async def test_a_pause_sheds_callers_and_a_resume_accepts_them_again():
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     async with World(switch, slow) as world:
         idle, busy, never_idle, leaver = [await world.caller() for _ in range(4)]
         done, standing = idle.set_up(1), leaver.set_up(1)
         await idle.next(done, "answer")
         await leaver.next(standing, "answer")
-        leaver.close()  # its call stands on, tied to no connection
+        leaver.close()  # its call keeps standing without a connection
         idle.say("release", done, cause=16)
         open_call, long_call = busy.set_up(2, left=9000), never_idle.set_up(2, left=9000)
         for _ in range(2):
@@ -168,33 +171,33 @@
         for _ in range(2):  # a second time changes nothing
             assert await world.console("PAUSE") == "+OK paused\n"
         assert (await world.console("STATUS")).startswith("-ERR paused")
-        front = await world.caller()
-        front.say("ping", "00000000000000f0", cause=0)
-        assert (await front.next())["cause"] == 0
-        # What is open is served on, also what comes before its connection is closed.
+        readiness_check = await world.caller()
+        readiness_check.say("ping", "00000000000000f0", cause=0)
+        assert (await readiness_check.next())["cause"] == 0
+        # Open set-ups are still served, and so are those that arrive before their connection is closed.
         late = busy.set_up(1)
         assert (await busy.next(late))["type"] == "answer"
         assert [(await idle.next(done))["type"] for _ in range(2)] == ["released", "release"]
         assert await idle.silent(LONG)
-        switch.bye(late)  # nothing stands on the busy connection but what is about to end
+        switch.bye(late)  # all calls of the busy connection are ended below
         assert (await busy.next(late))["type"] == "release"
         slow.act("answer", open_call)
         assert (await busy.next(open_call))["type"] == "answer"
         slow.bye(open_call)
         assert (await busy.next(open_call))["type"] == "release"
-        # Closed, and nothing more but the end that may have been lost as the idle connection was closed.
+        # Closed. At most, the release that may have been lost as the idle connection closed comes once more.
         rest = [json.loads(row) for row in (await busy.reader.read()).splitlines()]
         assert {(row["type"], row["id"]) for row in rest} <= {("release", done)}
-        # One that is never without an open set-up is closed all the same, and its callers are told.
+        # A connection that always has an open set-up is closed as well, and its set-ups are released.
         assert (await never_idle.next(long_call))["type"] == "release" and await never_idle.silent(LONG)
-        # The end of a call is owed until callers come back. Guards against telling it to the front: a test
-        # that is answered with anything but a pong has failed, and nobody would ever come.
+        # The release of a call stays pending until callers come back. It must not be sent to the platform's
+        # readiness check: if that gets anything but a pong it has failed, and no caller would ever come.
         switch.bye(standing)
         await asyncio.sleep(0.2)
         assert (await world.console("RESUME")).startswith("+OK serving")
-        front = await world.caller()
-        front.say("ping", "00000000000000f1", cause=0)
-        pong = await front.next()
+        readiness_check = await world.caller()
+        readiness_check.say("ping", "00000000000000f1", cause=0)
+        pong = await readiness_check.next()
         assert (pong["type"], pong["cause"]) == ("pong", 1)
         back = await world.caller()
         call = back.set_up(1)
@@ -203,8 +206,8 @@
 
 
 @program
-async def test_paused_a_connection_with_calls_stays_for_their_ends_and_takes_no_new_ones():
-    # The operators' term on drains. Guards against ends that nobody can be told of during a long pause.
+async def test_during_a_pause_a_connection_stays_for_its_standing_calls_and_takes_no_new_ones():
+    # Required by the operators for drains. Without this, releases could not be delivered during a long pause.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -212,11 +215,11 @@
         for call in (first, second):
             await caller.next(call, "answer")
         await world.console("PAUSE")
-        await asyncio.sleep(1.0)  # the front of the platform has looked away
+        await asyncio.sleep(1.0)  # the platform has noticed the pause
         refused = caller.set_up(1)
         answer = await caller.next(refused)
         assert (answer["type"], answer["cause"]) == ("release", 42) and int(answer["fields"]["wait"]) > 0
-        await asyncio.sleep(4.0)  # longer than any other connection is kept
+        await asyncio.sleep(4.0)  # connections without standing calls are closed sooner
         for call in (first, second):
             switch.bye(call)
             assert (await caller.next(call))["type"] == "release"
@@ -224,8 +227,8 @@
 
 
 @program
-async def test_paused_the_last_callers_connection_is_kept_for_the_ends_of_calls():
-    # Guards against calls whose end is told seconds late, as every connection was closed at once.
+async def test_during_a_pause_the_last_connection_of_callers_is_kept_for_releases():
+    # If all connections were closed at once, releases would be delivered seconds late.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -235,34 +238,36 @@
         await asyncio.sleep(1.0)  # idle connections are closed from half a second on
         switch.bye(call)
         assert (await caller.next(call))["type"] == "release"
-        assert await caller.silent(LONG)  # closed, as nothing stands any more
+        assert await caller.silent(LONG)  # closed, as no call stands any more
 
 
 def without(*path):
-    """The document less one key; numbers stand for places in a list."""
+    """A function that deletes the key at this path of a document. Numbers are list indexes."""
 
-    def spoil(document):
-        *way, last = path
-        for step in way:
-            document = document[step]
+    def remove(document):
+        *parents, last = path
+        for key in parents:
+            document = document[key]
         del document[last]
 
-    return spoil
+    return remove
 
 
 def with_value(value, *path):
-    def spoil(document):
-        *way, last = path
-        for step in way:
-            document = document[step]
+    """A function that sets the value at this path of a document."""
+
+    def set_value(document):
+        *parents, last = path
+        for key in parents:
+            document = document[key]
         document[last] = value
 
-    return spoil
+    return set_value
 
 
 DEADLINE = ("settings", "classes", 1, "deadline-ns")
 ATTEMPTS = ("settings", "limits", "max-attempts")
-SPOILT = [
+FAULTS = [
     without("channel"), without("known"), without("limits", "sockets"), without("settings"),
     without("settings", "guarantees"), without("settings", "guarantees", "ramp-time-ns"),
     without("settings", "classes"), without(*DEADLINE), without(*ATTEMPTS),
@@ -274,14 +279,14 @@
 
 
 @program
-async def test_a_file_that_lost_a_part_or_holds_no_usable_figure_is_turned_down_whole():
-    # Guards against taking part of a file: a channel that moved with it would never be heard of again.
+async def test_a_file_with_a_missing_or_unusable_part_is_rejected_completely():
+    # If a part of such a file were applied, its channel address would be too, and the real channel would be lost.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         texts = ["", " ", "{}", "[]", "null", json.dumps(world.document)[:-40]]
-        for spoil in SPOILT:
+        for make_faulty in FAULTS:
             document = copy.deepcopy(world.document) | {"channel": "127.0.0.1:9"}
-            spoil(document)
+            make_faulty(document)
             texts.append(json.dumps(document))
         for count, text in enumerate(texts, 1):
             world.reload(text)
@@ -299,17 +304,17 @@
 
 
 @program
-async def test_new_settings_hold_at_once_and_a_call_under_way_keeps_its_class():
+async def test_new_settings_apply_at_once_and_an_open_call_keeps_its_class():
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     failing = Switch("s-3", 3, plan=["500"])
     async with World(switch, slow, failing) as world:
         caller = await world.caller()
         assert (await caller.next(caller.set_up(1, **{"class": "survey"})))["cause"] == 100
         assert (await caller.next(caller.set_up(3)))["type"] == "release"
-        tries = failing.count("INVITE")
-        assert tries > 1
-        under_way = caller.set_up(2, left=9000)
-        await slow.next("INVITE", under_way)
+        attempts = failing.count("INVITE")
+        assert attempts > 1
+        open_call = caller.set_up(2, left=9000)
+        await slow.next("INVITE", open_call)
         changed = copy.deepcopy(world.settings)
         survey = {**changed["classes"][1], "name": "survey", "deadline-ns": 2 * S, "effect": "at_most_once"}
         changed["classes"] = [changed["classes"][1], survey]
@@ -320,17 +325,17 @@
         assert (await caller.next(call))["type"] == "answer"
         assert (await switch.next("INVITE", call))[2]["x-service"] == "survey"
         assert (await caller.next(caller.set_up(1, left=2500, **{"class": "survey"})))["cause"] == 100
-        # One that crossed the change is served still, under the new number of attempts.
+        # A set-up of a former class is still served for a moment, with the new limit of attempts.
         crossing = caller.set_up(3)
         assert (await caller.next(crossing))["cause"] != 100
-        assert failing.count("INVITE") <= tries + 1
+        assert failing.count("INVITE") <= attempts + 1
         await asyncio.sleep(1.1)
-        assert (await caller.next(caller.set_up(1)))["cause"] == 100  # its class has gone
-        slow.act("answer", under_way)
-        assert (await caller.next(under_way))["type"] == "answer"
+        assert (await caller.next(caller.set_up(1)))["cause"] == 100  # its class is no longer configured
+        slow.act("answer", open_call)
+        assert (await caller.next(open_call))["type"] == "answer"
 
 
-async def figures(world):
+async def read_metrics(world):
     answer = (await world.console("METRICS")).split("\n")
     assert answer[0] == "+OK" and answer[-2:] == [".", ""]
     rows = [re.fullmatch(r"gatekeeper\.([!-~]+):([0-9]+)\|([cg])", line) for line in answer[1:-2]]
@@ -339,24 +344,24 @@
 
 
 @program
-async def test_each_event_is_counted_once_and_unknown_classes_make_no_names():
+async def test_each_event_is_counted_once_and_unknown_classes_create_no_metrics():
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     failing, gone = Switch("s-3", 3, plan=["504"]), Switch("s-4", 4)
     async with World(switch, slow, failing, gone) as world:
-        start = await figures(world)
+        start = await read_metrics(world)
         assert start == {name: 5 if name == "hosts_listed" else 0 for name in start}
         assert {"success.lookup", "busy.fix", "failure.fix", "hosts_down", "inflight"} <= set(start)
         caller, other, third = [await world.caller() for _ in range(3)]
-        standing, over = caller.set_up(1), caller.set_up(1)
-        for call in (standing, over):
+        standing, ended = caller.set_up(1), caller.set_up(1)
+        for call in (standing, ended):
             await caller.next(call, "answer")
-        switch.bye(over)
-        await caller.next(over, "release")
+        switch.bye(ended)
+        await caller.next(ended, "release")
         refused = caller.set_up(3, left=1500, **{"class": "fix"})
         assert (await caller.next(refused))["cause"] in (34, 42)
         for fields in ({"left": "0"}, {"left": "x"}, {"class": "made up"}):
             assert (await caller.next(caller.set_up(1, **fields)))["cause"] == 100
-        # Two whose connection says what cannot be read are failed; one whose caller leaves is no failure.
+        # Two calls fail with their connection after malformed input. A call whose caller leaves is no failure.
         for call in [other.set_up(2), other.set_up(2)]:
             await slow.next("INVITE", call)
         other.writer.write(b"?\n")
@@ -373,9 +378,9 @@
         world.reload(settings=changed)
         await world.logged("configuration read")
         async with asyncio.timeout(LONG):
-            while (now := await figures(world))["inflight"] != 2 or not now["hosts_down"]:
+            while (now := await read_metrics(world))["inflight"] != 2 or not now["hosts_down"]:
                 await asyncio.sleep(0.05)
-        sent = sum(one.count("INVITE") for one in world.switches)
+        sent = sum(carrier.count("INVITE") for carrier in world.switches)
         assert {name: value for name, value in now.items() if value} == {
             "success.lookup": 2, "busy.fix": 1, "failure.lookup": 4, "backend_calls": sent,
             "inflight": 2, "standing": 1, "call_ends.switch_released": 1, "end_deliveries.written": 1,
@@ -383,13 +388,13 @@
         }  # fmt: skip
         assert "success.survey" in now and not [name for name in now if "made" in name]
         slow.act("answer", waiting)
-        assert (await caller.next(waiting))["type"] == "answer"  # its class has gone, and keeps its count
-        assert (await figures(world))["success.lookup"] == 3
+        assert (await caller.next(waiting))["type"] == "answer"  # counted under its former class
+        assert (await read_metrics(world))["success.lookup"] == 3
 
 
 @program
-async def test_an_attempt_counts_when_its_last_byte_has_left():
-    # Guards against counting a set-up that is dropped in the buffer of a stalled connection.
+async def test_an_attempt_is_counted_when_its_last_byte_has_been_sent():
+    # A set-up that is dropped from the buffer of a stalled connection must not be counted.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -397,14 +402,14 @@
             writer.transport.pause_reading()
         call = caller.set_up(1, left=600, sdp="x" * 15_000)  # no time for a second attempt
         assert (await caller.next(call))["type"] == "release"
-        assert (await figures(world))["backend_calls"] == 0
+        assert (await read_metrics(world))["backend_calls"] == 0
         for writer in switch.writers:
             with contextlib.suppress(RuntimeError):
                 writer.transport.resume_reading()
 
 
 @pytest.mark.parametrize(
-    "call, start",
+    "request_line, start",
     [
         (b"STATUS\r\n", "+OK serving"), (b"status", "+OK serving"), (b"RESUME\n", "+OK serving"),
         (b"STOP\n", "-ERR"), (b"\n", "-ERR"), (b"\xff\xfe\n", "-ERR"), (b"X" * 5000, "-ERR"),
@@ -413,26 +418,30 @@
     ids=range(8),
 )  # fmt: skip
 @program
-async def test_the_console_answers_one_line_whatever_others_do(call, start):
-    # Guards against silent callers, and a crowd at the client port, that keep the staff from an answer.
+async def test_the_console_answers_one_line_despite_many_other_connections(request_line, start):
+    # Silent connections to the console and a crowd at the callers' port must not keep the staff from an answer.
     async with World(Switch("s-1", 1), limits={"memory_mb": 192, "sockets": 200}) as world:
         crowd = [await world.caller() for _ in range(150)]
         silent = [await asyncio.open_connection("127.0.0.1", world.console_port) for _ in range(50)]
         reader, writer = await asyncio.open_connection("127.0.0.1", world.console_port)
-        writer.write(call)
-        if not call.endswith(b"\n"):
+        writer.write(request_line)
+        if not request_line.endswith(b"\n"):
             writer.write_eof()
         async with asyncio.timeout(LONG):
             answer = (await reader.read()).decode()
         assert answer.startswith(start) and answer.count("\n") == 1
         assert (await world.console("STATUS")).startswith("+OK")
-        for one in (writer, *(one for _, one in silent), *(one.writer for one in crowd)):
-            one.close()
+        for stream in (
+            writer,
+            *(silent_writer for _, silent_writer in silent),
+            *(caller.writer for caller in crowd),
+        ):
+            stream.close()
 
 
 @program
-async def test_ending_alone_it_leaves_no_queue_that_nobody_serves():
-    # Guards against connections that come up, and then wait for a process that takes none any more.
+async def test_without_a_successor_an_ending_process_refuses_new_connections():
+    # If the listening socket stayed open, new connections would wait in its queue and never be accepted.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -451,14 +460,14 @@
 
 @pytest.mark.parametrize("deadline_s", [0.4, 1, 3, 9])
 @program
-async def test_ending_alone_every_end_is_told_before_the_earliest_kill(deadline_s):
-    # Callers go on sending on open connections until the kill, and the switch hangs through the shutdown.
+async def test_without_a_successor_all_calls_are_released_before_the_earliest_kill(deadline_s):
+    # Callers continue to send on open connections until the kill, and the switch hangs during the shutdown.
     switch, hung = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
-    kinds = copy.deepcopy(settings()["classes"])
-    for kind in kinds:
-        kind["deadline-ns"] = kind["objective-ns"] = int(deadline_s * S)
+    classes = copy.deepcopy(settings()["classes"])
+    for call_class in classes:
+        call_class["deadline-ns"] = call_class["objective-ns"] = int(deadline_s * S)
     left = int(deadline_s * 900)
-    async with World(switch, hung, classes=kinds) as world:
+    async with World(switch, hung, classes=classes) as world:
         caller, crowd = await world.caller(), await world.caller()
         calls = [caller.set_up(1, left=left) for _ in range(3)]
         for call in calls:
@@ -467,32 +476,32 @@
         loop, sent = asyncio.get_running_loop(), []
         kill_at = loop.time() + min(3, deadline_s) + 0.7
         world.process.send_signal(signal.SIGTERM)
-        told = asyncio.create_task(caller.reader.read())
+        received = asyncio.create_task(caller.reader.read())
         answers = asyncio.create_task(crowd.reader.read())
         while loop.time() < kill_at and not answers.done():
             sent.append((crowd.set_up(2, left=left), loop.time()))
             await asyncio.sleep(0.01)
         closed_at = loop.time()
-        async with asyncio.timeout_at(kill_at + 0.3):  # for a busy machine; the kill itself is not played
-            rows = [json.loads(line) for line in (await told).splitlines()]
+        async with asyncio.timeout_at(kill_at + 0.3):  # margin for a busy machine; no SIGKILL is sent
+            rows = [json.loads(line) for line in (await received).splitlines()]
             assert await world.process.wait() == 0
         assert sorted(row["id"] for row in rows if row["type"] == "release") == sorted(calls)
-        ended = [json.loads(line)["id"] for line in (await answers).splitlines()]
-        assert len(ended) == len(set(ended)), "two answers"
-        # What crosses the close within 50 ms its caller sends again.
-        assert {call for call, at in sent if at < closed_at - 0.05} <= set(ended)
+        answered = [json.loads(line)["id"] for line in (await answers).splitlines()]
+        assert len(answered) == len(set(answered)), "two answers"
+        # A set-up sent within the last 50 ms may cross the close. Its caller sends it again.
+        assert {call for call, at in sent if at < closed_at - 0.05} <= set(answered)
 
 
 @program
-async def test_ending_alone_the_end_of_a_call_whose_connection_has_gone_is_told_on_another():
+async def test_without_a_successor_a_release_whose_connection_has_ended_is_sent_on_another():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         leaver, idle = await world.caller(), await world.caller()
-        standing, over = leaver.set_up(1), idle.set_up(1)
+        standing, ended = leaver.set_up(1), idle.set_up(1)
         await leaver.next(standing, "answer")
-        await idle.next(over, "answer")
-        switch.bye(over)
-        assert (await idle.next(over))["type"] == "release"
+        await idle.next(ended, "answer")
+        switch.bye(ended)
+        assert (await idle.next(ended))["type"] == "release"
         leaver.close()
         world.process.send_signal(signal.SIGTERM)
         assert (await idle.next(standing))["type"] == "release"
@@ -500,7 +509,7 @@
 
 
 @program
-async def test_a_pause_belongs_to_its_process_and_an_ending_one_takes_no_orders():
+async def test_a_pause_ends_with_its_process_and_an_ending_process_takes_no_commands():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller, old_console = await world.caller(), world.console_port
@@ -514,9 +523,9 @@
         async with asyncio.timeout(LONG):
             while not (await world.console("STATUS", old_console)).startswith("-ERR ending"):
                 await asyncio.sleep(0.05)
-        for order in ("PAUSE", "RESUME"):
-            assert (await world.console(order, old_console)).startswith("-ERR")
-        assert await caller.silent(LONG)  # its connection was kept for the pause, and is not any more
+        for command in ("PAUSE", "RESUME"):
+            assert (await world.console(command, old_console)).startswith("-ERR")
+        assert await caller.silent(LONG)  # the pause had kept its connection; the shutdown closes it
         switch.bye(call)
         assert (await newcomer.next(call))["type"] == "release"
         assert (await world.console("STATUS")).startswith("+OK")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,8 @@
-"""The program as a process on sockets, with stand-ins for all it talks to. No test needs the bench."""
+"""The gatekeeper as a process on real sockets, with stand-ins for callers, carrier switches, the channel and peers.
+
+Covers the way of a call through callers' and switches' connections, malformed input on each of them, lost connections,
+the switch list, reload, SIGTERM, and faulty configurations.
+"""
 
 import asyncio
 import contextlib
@@ -16,11 +20,11 @@
 
 
 def program(test):
-    """Runs an async test; the plain form keeps the project free of a plugin."""
+    """Run an async test function with asyncio.run, so that no pytest plugin is needed."""
 
     @functools.wraps(test)
-    def run(*given, **named):
-        asyncio.run(test(*given, **named))
+    def run(*args, **kwargs):
+        asyncio.run(test(*args, **kwargs))
 
     return run
 
@@ -39,7 +43,7 @@
         await switch.next("ACK", call)
         switch.bye(call)
         assert await caller.next(call) == {"type": "release", "id": call, "fields": {}, "cause": 16}
-        switch.bye(call)  # a switch tells its release again on its next connection
+        switch.bye(call)  # a switch sends its release once more on its next connection
         assert await caller.silent()
 
 
@@ -58,7 +62,7 @@
     ],
 )
 @program
-async def test_each_refusal_gives_one_final_answer_with_a_time_to_come_back(plan, refused):
+async def test_each_refusal_gives_one_final_answer_with_a_cause_to_try_again(plan, refused):
     switch = Switch("s-1", 1, plan=plan)
     async with World(switch) as world:
         caller = await world.caller()
@@ -69,8 +73,8 @@
 
 
 @program
-async def test_a_second_attempt_is_heard_though_the_switch_counts_from_one():
-    # Guards sip.py against matching answers by the number in CSeq: the switches always say 1.
+async def test_the_answer_to_a_second_attempt_is_matched_though_its_cseq_is_one():
+    # Carrier switches always send CSeq 1, so sip.py must not match answers by that number.
     switch = Switch("s-1", 1, plan=["480 all_trunks_busy", "answer"])
     async with World(switch) as world:
         caller = await world.caller()
@@ -81,8 +85,8 @@
 
 @program
 async def test_a_full_group_is_not_tried_again_at_once_though_its_report_is_older():
-    # Guards against a call that spends all its attempts in a moment: the state sent with a refusal for want
-    # of a circuit still shows one.
+    # The load report sent with a refusal for lack of a circuit may still show a free one. Without a check, the call
+    # would spend all its attempts within a moment.
     switch = Switch("s-1", 1, plan=["480 all_trunks_busy", "answer"])
     switch.with_refusal = "X-Group: free:20;size:20"
     async with World(switch) as world:
@@ -93,20 +97,20 @@
         assert second - first > 0.03
 
 
-@pytest.mark.parametrize("plan, least_s", [(["reset", "answer"], 0.2), (["500", "500", "answer"], 0)])
+@pytest.mark.parametrize("plan, min_gap_s", [(["reset", "answer"], 0.2), (["500", "500", "answer"], 0)])
 @program
-async def test_a_set_up_that_was_lost_is_tried_again_and_not_before_its_release(plan, least_s):
+async def test_a_lost_set_up_is_tried_again_after_the_release_delay(plan, min_gap_s):
     switch = Switch("s-1", 1, plan=plan)
     async with World(switch) as world:
         caller = await world.caller()
         call = caller.set_up(1)
         assert (await caller.next(call))["type"] == "answer" and await caller.silent()
         sent = [at for at, method, _ in switch.log if method == "INVITE"]
-        assert len(sent) == len(plan) and sent[-1] - sent[-2] >= least_s
+        assert len(sent) == len(plan) and sent[-1] - sent[-2] >= min_gap_s
 
 
 @program
-async def test_a_blocked_call_takes_the_tandem_and_a_transit_call_none():
+async def test_a_blocked_call_uses_a_tandem_and_a_call_in_transit_does_not():
     full, tandem = Switch("s-1", 1, free=0), Switch("s-2", 2)
     async with World(full, tandem) as world:
         caller = await world.caller()
@@ -118,7 +122,7 @@
 
 
 @program
-async def test_an_answer_that_loses_to_the_callers_giving_up_is_released_at_the_switch():
+async def test_an_answer_after_the_caller_gave_up_is_released_at_the_switch():
     switch = Switch("s-1", 1, plan=["silent"])
     async with World(switch) as world:
         caller = await world.caller()
@@ -136,7 +140,7 @@
 
 
 @program
-async def test_at_the_deadline_the_attempt_is_given_up_and_the_answer_given():
+async def test_at_the_deadline_the_attempt_is_cancelled_and_the_call_released():
     switch = Switch("s-1", 1, plan=["silent"])
     async with World(switch) as world:
         caller = await world.caller()
@@ -148,7 +152,7 @@
 
 
 @program
-async def test_a_standing_call_may_end_over_any_connection():
+async def test_a_standing_call_may_be_released_on_any_connection():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         first, second = await world.caller(), await world.caller()
@@ -162,13 +166,13 @@
         assert (await second.next(calls[1], "release"))["cause"] == 41
         second.close()
         await asyncio.sleep(0.2)
-        switch.bye(calls[2])  # no connection is left: told on the next that comes
+        switch.bye(calls[2])  # no connection is left: sent on the next one that opens
         await asyncio.sleep(0.2)
         assert (await (await world.caller()).next(calls[2]))["type"] == "release"
 
 
 @program
-async def test_nothing_new_goes_to_a_switch_that_drains_and_its_address_may_be_taken_over():
+async def test_a_draining_switch_gets_no_new_calls_and_its_address_may_be_reused():
     old = Switch("s-old", 1, plan=["silent"])
     async with World(old) as world:
         caller = await world.caller()
@@ -179,9 +183,9 @@
         await asyncio.sleep(0.2)
         assert (await caller.next(caller.set_up(1)))["type"] == "release"
         assert old.count("INVITE") == 1
-        old.act("answer", held)  # what was out before the drain goes on
+        old.act("answer", held)  # an attempt from before the drain continues
         assert (await caller.next(held))["type"] == "answer"
-        # Guards against keying by address: the newcomer has the name, the old one's calls are over.
+        # Switches must not be identified by address: the new one has another name, and the calls of the old have ended.
         old.server.close()
         for writer in old.writers:
             writer.transport.abort()
@@ -207,12 +211,12 @@
         async with asyncio.timeout(LONG):
             while (await caller.next(caller.set_up(2)))["type"] != "answer":
                 await asyncio.sleep(0.05)
-        world.channel.writers.pop().write(b"not json\n9\n")  # and a number ahead of what came
+        world.channel.writers.pop().write(b"not json\n9\n")  # and a cursor ahead of the events received
         assert await world.channel.resumed.get() == 2
 
 
 @program
-async def test_a_gap_in_the_events_is_asked_for_again_and_a_long_list_is_read():
+async def test_missing_events_are_requested_again_and_a_long_event_is_read():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         later = await world.add(Switch("s-2", 2))
@@ -229,14 +233,14 @@
 
 
 @program
-async def test_a_reload_moves_the_channel_and_leaves_the_calls_alone():
-    # Guards against dying of SIGHUP, and against a faulty file that takes the running one's place.
+async def test_a_reload_changes_the_channel_address_and_keeps_all_calls():
+    # SIGHUP must not end the process, and a faulty file must not replace the configuration in use.
     switch, held = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     async with World(switch, held) as world:
         caller = await world.caller()
-        standing, out = caller.set_up(1), caller.set_up(2, left=9000)
+        standing, unanswered = caller.set_up(1), caller.set_up(2, left=9000)
         await caller.next(standing, "answer")
-        await held.next("INVITE", out)
+        await held.next("INVITE", unanswered)
         world.reload(channel="nowhere")
         await world.logged("the old configuration stays: channel")
         moved = Channel()
@@ -244,22 +248,22 @@
         await moved.start()
         assert await world.channel.resumed.get() == 1
         world.reload(channel=f"127.0.0.1:{moved.port}")
-        assert await moved.resumed.get() == 1  # the cursor goes with it
+        assert await moved.resumed.get() == 1  # the cursor is kept
         later = await world.add(Switch("s-3", 3))
         moved.event(later.entry())
         async with asyncio.timeout(LONG):
             while (await caller.next(call := caller.set_up(3)))["type"] != "answer":
                 await asyncio.sleep(0.05)
         assert world.channel.resumed.empty() and call in later.out
-        held.act("answer", out)
-        assert (await caller.next(out))["type"] == "answer"
+        held.act("answer", unanswered)
+        assert (await caller.next(unanswered))["type"] == "answer"
         switch.bye(standing)
         assert (await caller.next(standing))["type"] == "release"
 
 
 @pytest.mark.parametrize("chop", [1, 7])
 @program
-async def test_messages_split_or_joined_anywhere_are_whole(chop):
+async def test_messages_split_or_joined_at_any_byte_are_read_completely(chop):
     switch = Switch("s-1", 1)
     switch.chop = chop
     async with World(switch) as world:
@@ -296,35 +300,35 @@
 
 @pytest.mark.parametrize("bad", BAD_LINES, ids=range(len(BAD_LINES)))
 @program
-async def test_what_callers_say_wrongly_is_refused_or_ends_their_connection(bad):
-    # Guards against leaving such a caller without a word, and against serving what no switch could use.
+async def test_malformed_input_of_a_caller_is_refused_or_ends_its_connection(bad):
+    # Such a caller must get an answer or see its connection close, and nothing unusable may reach a switch.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
-        wrong, right = await world.caller(), await world.caller()
-        wrong.writer.write(bad)
-        call = right.set_up(1, unknown="1")
-        assert (await right.next(call))["type"] == "answer"
+        faulty, correct = await world.caller(), await world.caller()
+        faulty.writer.write(bad)
+        call = correct.set_up(1, unknown="1")
+        assert (await correct.next(call))["type"] == "answer"
         with contextlib.suppress(ConnectionError):
-            assert (await wrong.next())["type"] == "release"
+            assert (await faulty.next())["type"] == "release"
         assert switch.count("INVITE") == 1
 
 
 @program
-async def test_the_first_holder_of_an_id_keeps_its_one_answer():
+async def test_a_second_set_up_with_the_same_id_gets_no_answer():
     switch = Switch("s-1", 1, plan=["silent"])
     async with World(switch) as world:
         first, second, third = [await world.caller() for _ in range(3)]
         call = first.set_up(1)
         await switch.next("INVITE", call)
         second.writer.write(set_up_line(call))
-        assert await second.silent(LONG)  # closed without a word
+        assert await second.silent(LONG)  # closed without an answer
         switch.act("answer", call)
         assert (await first.next(call))["type"] == "answer"
         switch.bye(call)
         assert (await first.next(call))["type"] == "release"
         third.writer.write(set_up_line(call))
         assert await third.silent(LONG) and await first.silent() and switch.count("INVITE") == 1
-        # On one connection the open calls are failed, as it is of no use any more: one answer each.
+        # If the second one comes on the same connection, all open calls there fail, one answer each, and it is closed.
         both = [first.set_up(1) for _ in range(2)]
         for call in both:
             await switch.next("INVITE", call)
@@ -335,8 +339,8 @@
 
 
 @program
-async def test_the_end_of_a_call_is_told_to_a_caller_and_not_to_who_only_holds_a_connection():
-    # Guards against passing a release to a connection that has brought no call: nobody hears it there.
+async def test_a_release_goes_to_a_caller_and_not_to_a_connection_without_calls():
+    # A release would be lost on a connection that has brought no set-up, as nobody reads it there.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         holders = [await world.caller() for _ in range(5)]
@@ -354,7 +358,7 @@
         assert (await second.next(calls[0]))["type"] == "release"
         second.close()
         await asyncio.sleep(0.2)
-        switch.bye(calls[1])  # no caller is left but holders: told to the next that calls
+        switch.bye(calls[1])  # only connections without calls are left: sent to the next caller
         await asyncio.sleep(0.2)
         idle, third = await world.caller(), await world.caller()
         await idle.next(calls[1], "release")
@@ -365,7 +369,7 @@
 
 
 @program
-async def test_the_release_of_a_call_that_is_over_is_heard_and_of_none_an_error():
+async def test_a_release_of_an_ended_call_is_confirmed_and_of_an_unknown_one_fails():
     async with World(Switch("s-1", 1, plan=["500"])) as world:
         caller = await world.caller()
         call = caller.set_up(1)
@@ -377,19 +381,19 @@
 
 
 @program
-async def test_silent_connections_by_the_hundreds_leave_room_for_a_caller():
-    # Guards against accepting more at once than there are descriptors, after which none comes for a second.
+async def test_hundreds_of_silent_connections_leave_room_for_a_caller():
+    # Without a limit, the process would run out of file descriptors, and then accept no connection for a second.
     async with World(Switch("s-1", 1), limits={"cores": 1.0, "memory_mb": 64, "sockets": 64}) as world:
         caller = await world.caller()
         assert (await caller.next(caller.set_up(1)))["type"] == "answer"
         crowd = [await world.caller() for _ in range(200)]
         late = await world.caller()
         assert (await late.next(late.set_up(1)))["type"] == "answer"
-        assert all([await one.silent(LONG) for one in crowd])  # each is closed
+        assert all([await connection.silent(LONG) for connection in crowd])  # each is closed
         assert not [line for line in world.lines if "accept" in line]
 
 
-WHOLE = (
+ANSWER = (
     b"SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: 1 INVITE\r\nContent-Length: 27\r\n\r\n"
     b"ab\r\nc=IN IP4 10.0.0.1\r\nm=\r\n"
 )
@@ -401,27 +405,27 @@
     b"NO \xa2\xff\r\n\r\n", b"\xff\xff: \xff\r\nContent-Length: 0\r\n\r\n",
     b"BYE sip:x SIP/2.0\r\nno header\r\n\r\n",
     b"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n",
-    WHOLE.replace(b"SIP/2.0", b"SIP/9.9"), WHOLE.replace(b"27", b"25"), WHOLE.replace(b"27", b"90"),
-    WHOLE.replace(b"27", b"31") + b"SIP/", WHOLE.replace(b"27", b"0"), WHOLE.replace(b"ab", b"\xf2\xa0"),
-    WHOLE.replace(b"OK\r\n", b"OK\r\nContent-Length: x\r\n"),
-    WHOLE.replace(b"OK\r\n", b"OK\r\nCall-ID: y\r\n"),
+    ANSWER.replace(b"SIP/2.0", b"SIP/9.9"), ANSWER.replace(b"27", b"25"), ANSWER.replace(b"27", b"90"),
+    ANSWER.replace(b"27", b"31") + b"SIP/", ANSWER.replace(b"27", b"0"), ANSWER.replace(b"ab", b"\xf2\xa0"),
+    ANSWER.replace(b"OK\r\n", b"OK\r\nContent-Length: x\r\n"),
+    ANSWER.replace(b"OK\r\n", b"OK\r\nCall-ID: y\r\n"),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize("bad", BAD_SIP, ids=range(len(BAD_SIP)))
 @program
-async def test_a_spoilt_answer_ends_its_connection_and_nothing_of_it_is_passed_on(bad):
-    # Guards against passing on what no switch made for the call, and against trusting a connection after it.
+async def test_a_malformed_answer_ends_its_connection_and_is_not_passed_on(bad):
+    # A malformed message must not reach the caller, and nothing that follows it on the connection can be trusted.
     switch = Switch("s-1", 1, plan=["answer", "silent", "500"])
     async with World(switch) as world:
         caller = await world.caller()
         standing = caller.set_up(1)
         await caller.next(standing, "answer")
-        spoilt = caller.set_up(1)
-        await switch.next("INVITE", spoilt)
-        switch.writers[0].write(bad.replace(b"%s", spoilt.encode()))
-        assert (await caller.next(spoilt))["type"] == "release" and await caller.silent()
-        assert (await switch.next("BYE"))[1] == spoilt  # it may stand there
+        affected = caller.set_up(1)
+        await switch.next("INVITE", affected)
+        switch.writers[0].write(bad.replace(b"%s", affected.encode()))
+        assert (await caller.next(affected))["type"] == "release" and await caller.silent()
+        assert (await switch.next("BYE"))[1] == affected  # the switch may have answered it
         switch.plan = ["answer"]
         while (await caller.next(caller.set_up(1)))["type"] != "answer":
             await asyncio.sleep(0.05)
@@ -431,11 +435,11 @@
 
 
 @program
-async def test_a_second_copy_and_an_answer_to_no_set_up_change_nothing():
+async def test_a_repeated_answer_and_an_answer_to_no_set_up_are_ignored():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
-        switch.writers[0].write(WHOLE.replace(b"%s", b"00000000000000aa"))
+        switch.writers[0].write(ANSWER.replace(b"%s", b"00000000000000aa"))
         call = caller.set_up(1)
         answer = await caller.next(call)
         switch.act("answer", call)
@@ -449,8 +453,8 @@
 
 
 @program
-async def test_a_connection_that_falls_silent_is_closed_and_the_next_one_tells():
-    # Guards against calls that stand for ever, as a connection may stay open and bring nothing more.
+async def test_a_silent_connection_is_closed_and_the_release_comes_on_the_next_one():
+    # A connection may stay open and deliver nothing more. Without the check, its calls would stand for ever.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -458,7 +462,7 @@
         await caller.next(call, "answer")
         await switch.next("OPTIONS")
         await asyncio.sleep(1)
-        assert len(switch.writers) == 1  # one that answers is kept
+        assert len(switch.writers) == 1  # a connection that answers is kept
         switch.mute.append(switch.writers[0])
         async with asyncio.timeout(LONG):
             while len(switch.writers) < 2:
@@ -468,7 +472,7 @@
 
 
 @program
-async def test_a_switch_that_is_not_there_is_no_route_and_found_again_later():
+async def test_calls_to_an_unreachable_switch_fail_until_it_is_back():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -477,7 +481,7 @@
         switch.server.close()
         for writer in switch.writers:
             writer.transport.abort()
-        assert (await caller.next(standing))["cause"] == 41  # a dying process cuts its calls
+        assert (await caller.next(standing))["cause"] == 41  # the end of the switch's process cuts its calls
         assert (await caller.next(caller.set_up(1)))["type"] == "release"
         await world.add(Switch("s-1", 1), switch.port)
         async with asyncio.timeout(LONG):
@@ -486,8 +490,8 @@
 
 
 @program
-async def test_a_restarted_switch_has_lost_the_calls_from_before():
-    # Guards against calls that stand for ever: the process that held them can send no release.
+async def test_a_restart_of_a_switch_ends_its_earlier_calls():
+    # The process that held the calls cannot send a release any more. Without this they would stand for ever.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -499,8 +503,8 @@
 
 
 @program
-async def test_a_set_up_that_waits_for_a_dial_never_leaves_late():
-    """A machine that is cut off takes no connection; when it is back, nothing of before may reach it."""
+async def test_a_set_up_that_waits_for_a_connection_is_never_sent_late():
+    """A machine that is cut off accepts no connection. When it is back, no earlier set-up may reach it."""
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -510,9 +514,9 @@
             silent.bind(("127.0.0.1", switch.port))
             silent.listen(0)
             for _ in range(3):  # fill the queue: further connections stay half open
-                one = crowd.enter_context(socket.socket())
-                one.setblocking(False)
-                one.connect_ex(("127.0.0.1", switch.port))
+                client = crowd.enter_context(socket.socket())
+                client.setblocking(False)
+                client.connect_ex(("127.0.0.1", switch.port))
             for writer in switch.writers:
                 writer.transport.abort()
             await world.logged("connection ended")
@@ -526,7 +530,7 @@
 
 
 @program
-async def test_a_set_up_in_a_stalled_buffer_is_dropped_with_its_connection():
+async def test_a_set_up_in_the_buffer_of_a_stalled_connection_is_dropped_with_it():
     switch = Switch("s-1", 1, plan=["silent"])
     async with World(switch) as world:
         caller = await world.caller()
@@ -546,7 +550,7 @@
 
 
 @program
-async def test_peers_get_reports_and_strangers_are_not_heard():
+async def test_peers_get_reports_and_datagrams_of_strangers_are_ignored():
     async with World(Switch("s-1", 1)) as world:
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(LONG):
@@ -562,7 +566,7 @@
 
 
 @program
-async def test_sigterm_takes_what_still_comes_and_finishes_it():
+async def test_after_sigterm_new_connections_are_served_for_a_while_and_all_calls_finished():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -570,7 +574,7 @@
         await caller.next(standing, "answer")
         world.process.send_signal(signal.SIGTERM)
         await world.logged("finishing")
-        late = await world.caller()  # connections keep coming for a while
+        late = await world.caller()  # new connections keep arriving for a while
         call = late.set_up(1)
         assert (await late.next(call))["type"] == "answer"
         switch.bye(standing)
@@ -596,7 +600,7 @@
         ({}, "= nonsense", "operator"),
     ],
 )
-def test_a_faulty_key_is_named(tmp_path, changed, operator, key):
+def test_the_error_names_the_faulty_key(tmp_path, changed, operator, key):
     document = {"name": "n0", "listen": "127.0.0.1:0", "settings": settings(), **changed}
     config, toml = tmp_path / "config.json", tmp_path / "operator.toml"
     config.write_text(json.dumps(document))
