--- a/tansyspur/iax2/back.py
+++ b/tansyspur/iax2/back.py
@@ -1,4 +1,8 @@
-"""Carrier switches that speak IAX2, in place of SIP for the names in the operator's file."""
+"""Carrier switches that are reached by IAX2.
+
+The operator's file names them; all other switches are reached by SIP. Iax2Switch implements Switch for the core, and
+an Attempt is its SwitchLeg.
+"""
 
 import asyncio
 import time
@@ -15,7 +19,7 @@
     SwitchSignal,
 )
 from tansyspur.iax2 import causes
-from tansyspur.iax2.auth import Peer, Registrar, answer_to
+from tansyspur.iax2.auth import Peer, Registrar, md5_result
 from tansyspur.iax2.frames import (
     AUTH_MD5,
     IE,
@@ -25,122 +29,143 @@
     FullFrame,
     Iax,
     MiniFrame,
-    number_of,
-    text_of,
+    element_number,
+    element_text,
 )
-from tansyspur.iax2.media import FORMATS, Bridge, describe
+from tansyspur.iax2.media import FORMATS, Bridge, session_description
 from tansyspur.iax2.transport import Endpoint, Leg
 
-BUSY = 17
+USER_BUSY = 17  # cause value of Q.850
 
 Log = Callable[..., None]
 
 
 class Attempt:
-    """One attempt, and the call that stands from it."""
+    """One attempt at a switch, and the call once it is answered."""
 
     def __init__(
-        self, switch: "Iax2Switch", order: SetUpRequest, tell: Callable[[SwitchSignal], None]
+        self, switch: "Iax2Switch", request: SetUpRequest, notify: Callable[[SwitchSignal], None]
     ) -> None:
-        self.switch, self.order, self._tell = switch, order, tell
-        self.wire_id = order.offer.wire_id
+        self.switch, self.request, self._notify = switch, request, notify
+        self.wire_id = request.offer.wire_id
         self.leg: Leg | None = None
-        self.format = 0
-        self.stands = self.over = self.proven = False
+        self.media_format = 0
+        self.answered = self.ended = self.challenge_answered = False
         self.sent_ns = time.time_ns()
 
-    def end(self, ended: LegEnded | None) -> None:
-        """Once; the core is told unless it ended the attempt itself."""
-        if not self.over:
-            self.over = True
-            self.switch.ended(self)
-            if ended:
-                self._tell(ended)
+    def end(self, signal: LegEnded | None) -> None:
+        """End the attempt and report the signal; None if the core ended it itself. Later calls do nothing."""
+        if not self.ended:
+            self.ended = True
+            self.switch.on_attempt_ended(self)
+            if signal:
+                self._notify(signal)
 
     def start(self, leg: Leg) -> None:
+        """Send the NEW on the leg.
+
+        For a caller by IAX2 it offers the caller's format only, since media is forwarded without transcoding.
+        """
         self.leg = leg
         caller = next(iter(self.switch.bridge.legs.get(self.wire_id, ())), None)
-        self.switch.bridge.join(self.wire_id, leg)
+        self.switch.bridge.add_leg(self.wire_id, leg)
         formats = sum(FORMATS.values())
-        wanted = FORMATS["ulaw"] if caller is None else 0
+        preferred_format = FORMATS["ulaw"] if caller is None else 0
         for name, bit in FORMATS.items():
-            if f"IAX2 {name}\r\n" in self.order.offer.description:
-                wanted = bit
+            if f"IAX2 {name}\r\n" in self.request.offer.description:
+                preferred_format = bit
         peer = self.switch.peer
-        leg.iax(
+        leg.send_iax(
             Iax.NEW,
             (IE.VERSION, VERSION.to_bytes(2, "big")),
-            (IE.CALLED_NUMBER, self.order.offer.called_number),
+            (IE.CALLED_NUMBER, self.request.offer.called_number),
             (IE.USERNAME, self.switch.username),
             *([(IE.CALLED_CONTEXT, self.switch.context)] if self.switch.context else []),
-            (IE.FORMAT, wanted or FORMATS["ulaw"]),
-            (IE.CAPABILITY, formats if caller is None else wanted),
+            (IE.FORMAT, preferred_format or FORMATS["ulaw"]),
+            (IE.CAPABILITY, formats if caller is None else preferred_format),
         )
         self.switch.log("debug", "iax2", "set-up sent", call=self.wire_id, user=peer.name)
 
-    # What the switch says
+    # Events from the switch
 
-    def heard(self, leg: Leg, frame: FullFrame, elements: dict[int, bytes]) -> None:
+    def on_frame(self, leg: Leg, frame: FullFrame, elements: dict[int, bytes]) -> None:
         if frame.is_iax(Iax.AUTHREQ):
-            self._prove(leg, elements)
+            self._answer_challenge(leg, elements)
         elif frame.is_iax(Iax.ACCEPT):
-            self.format = number_of(elements, IE.FORMAT)
+            self.media_format = element_number(elements, IE.FORMAT)
         elif frame.is_iax(Iax.HANGUP, Iax.REJECT):
-            self._released(number_of(elements, IE.CAUSECODE))
+            self._on_release(element_number(elements, IE.CAUSECODE))
         elif frame.frame_type == FrameType.CONTROL:
-            self._control(leg, frame.subclass)
+            self._on_control(leg, frame.subclass)
         elif frame.is_iax(Iax.TXREQ):
-            leg.iax(Iax.TXREJ)
+            leg.send_iax(Iax.TXREJ)
 
-    def _prove(self, leg: Leg, elements: dict[int, bytes]) -> None:
+    def _answer_challenge(self, leg: Leg, elements: dict[int, bytes]) -> None:
         peer = self.switch.peer
-        if self.proven or not peer.secret or not number_of(elements, IE.AUTHMETHODS) & AUTH_MD5:
+        if (
+            self.challenge_answered
+            or not peer.secret
+            or not element_number(elements, IE.AUTHMETHODS) & AUTH_MD5
+        ):
             leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([NORMAL_CLEARING])))
-            self.switch.log("warning", "iax2", "the switch's challenge cannot be met", user=peer.name)
+            self.switch.log(
+                "warning",
+                "iax2",
+                "the switch sent a challenge that cannot be answered; attempt ended",
+                user=peer.name,
+            )
             return self.end(LegEnded(interface.Outcome.FAULT))
-        self.proven = True
-        leg.iax(Iax.AUTHREP, (IE.MD5_RESULT, answer_to(text_of(elements, IE.CHALLENGE), peer.secret)))
+        self.challenge_answered = True
+        leg.send_iax(
+            Iax.AUTHREP, (IE.MD5_RESULT, md5_result(element_text(elements, IE.CHALLENGE), peer.secret))
+        )
 
-    def _control(self, leg: Leg, subclass: int) -> None:
-        if subclass == Control.ANSWER and not self.stands:
-            self.stands = True
+    def _on_control(self, leg: Leg, subclass: int) -> None:
+        if subclass == Control.ANSWER and not self.answered:
+            self.answered = True
             leg.keep_alive()
-            self._tell(Answered(describe(leg, self.wire_id, self.format)))
+            self._notify(Answered(session_description(leg, self.wire_id, self.media_format)))
         elif subclass == Control.HANGUP:
             leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([NORMAL_CLEARING])))
-            self._released(NORMAL_CLEARING)
-        elif subclass in (Control.BUSY, Control.CONGESTION) and not self.stands:
+            self._on_release(NORMAL_CLEARING)
+        elif subclass in (Control.BUSY, Control.CONGESTION) and not self.answered:
             leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([NORMAL_CLEARING])))
-            row = causes.of_code(BUSY if subclass == Control.BUSY else 34)
-            self.end(LegEnded(row.outcome, row.cause))
+            cause_code = causes.lookup(USER_BUSY if subclass == Control.BUSY else 34)
+            self.end(LegEnded(cause_code.outcome, cause_code.cause))
 
-    def _released(self, code: int) -> None:
-        if self.stands:
-            return self.end(LegEnded(causes.standing_outcome(code)))
-        row = causes.of_code(code)
-        self.end(LegEnded(row.outcome, row.cause))
+    def _on_release(self, code: int) -> None:
+        if self.answered:
+            return self.end(LegEnded(causes.release_outcome(code)))
+        cause_code = causes.lookup(code)
+        self.end(LegEnded(cause_code.outcome, cause_code.cause))
 
-    def media(self, leg: Leg, frame: FullFrame | MiniFrame) -> None:
-        self.switch.bridge.media(self.wire_id, leg, frame)
+    def on_media(self, leg: Leg, frame: FullFrame | MiniFrame) -> None:
+        self.switch.bridge.forward(self.wire_id, leg, frame)
 
-    def lost(self, leg: Leg, reason: str) -> None:
-        self.switch.log("notice", "iax2", f"attempt lost: {reason}", call=self.wire_id)
-        why = EndReason.SWITCH_SILENT if self.stands else EndReason.CONNECTION_LOST
-        self.end(LegEnded(interface.Outcome.CUT, reason=why))
+    def on_lost(self, leg: Leg, reason: str) -> None:
+        self.switch.log("notice", "iax2", f"switch lost, call or attempt ended: {reason}", call=self.wire_id)
+        end_reason = EndReason.SWITCH_SILENT if self.answered else EndReason.CONNECTION_LOST
+        self.end(LegEnded(interface.Outcome.CUT, reason=end_reason))
 
-    # What the core says
+    # Requests from the core
 
     def cancel(self) -> None:
         self.release(NORMAL_CLEARING)
 
     def release(self, cause: int) -> None:
-        if not self.over and self.leg:
-            self.leg.finish(Iax.HANGUP, (IE.CAUSE, causes.text_for(cause)), (IE.CAUSECODE, bytes([cause])))
+        if not self.ended and self.leg:
+            self.leg.finish(Iax.HANGUP, (IE.CAUSE, causes.cause_text(cause)), (IE.CAUSECODE, bytes([cause])))
         self.end(None)
 
 
 class Iax2Switch:
-    uses_listed_address = False  # but at the one in the operator's file, or where it registered from
+    """A carrier switch that is reached by IAX2.
+
+    circuits is the size of this gatekeeper's trunk group to it; 0 if the operator gave none, then no load is reported.
+    qualify_s is the interval of the keep-alive POKE in seconds; 0 sends none.
+    """
+
+    uses_listed_address = False  # the operator's file gives the address, or the switch registers it
 
     def __init__(
         self,
@@ -168,26 +193,26 @@
             self.loop.call_soon(self._qualify)
 
     def _report(self) -> None:
-        """Free circuits of this gatekeeper's group, where the operator gave its size."""
+        """Report the free circuits of the trunk group, if its size is known."""
         if self.circuits and not self.retired:
             free = max(0, self.circuits - len(self.attempts))
             self.on_report(interface.LoadReport(free=free, size=self.circuits))
 
-    def ended(self, attempt: Attempt) -> None:
+    def on_attempt_ended(self, attempt: Attempt) -> None:
         self.attempts.discard(attempt)
         if attempt.leg:
-            self.bridge.part(attempt.wire_id, attempt.leg)
-        # The attempt's own end is told first, then the circuit that it frees.
+            self.bridge.remove_leg(attempt.wire_id, attempt.leg)
+        # Called later, so that the end of the attempt is reported before the circuit that it frees.
         self.loop.call_soon(self._report)
 
     def start_attempt(
         self,
-        order: SetUpRequest,
+        request: SetUpRequest,
         may_send: Callable[[], bool],
         on_written: Callable[[], None],
         notify: Callable[[SwitchSignal], None],
     ) -> Attempt:
-        attempt = Attempt(self, order, notify)
+        attempt = Attempt(self, request, notify)
         self.attempts.add(attempt)
         address = self.registrar.address(self.peer.name)
         if address is None or not self.reachable:
@@ -197,7 +222,7 @@
         elif not may_send():
             attempt.end(LegEnded(interface.Outcome.NOT_SENT))
         else:
-            leg = self.endpoint.leg(address, attempt)
+            leg = self.endpoint.open_leg(address, attempt)
             if leg is None:
                 attempt.end(LegEnded(interface.Outcome.NOT_SENT))
             else:
@@ -207,26 +232,26 @@
         return attempt
 
     def probe(self, notify: Callable[[interface.Outcome, interface.LoadReport | None], None]) -> None:
-        """IAX2 tells no load; the own group is what is known."""
+        """Report the state of the trunk group at once: IAX2 has no message that requests the load of a switch."""
         free = self.circuits - len(self.attempts) if self.circuits else None
         notify(interface.Outcome.ENDED, interface.LoadReport(free=free, size=self.circuits or None))
 
     def stop_new_attempts(self) -> None:
-        """Guards against a NEW repeated to a switch that drains: unacknowledged ones are given up."""
+        """Give up the unacknowledged set-ups, whose NEW would otherwise be retransmitted to a switch that drains."""
         for attempt in list(self.attempts):
             if attempt.leg and not attempt.leg.remote:
                 attempt.leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([NORMAL_CLEARING])))
                 attempt.end(LegEnded(interface.Outcome.CUT))
 
     def process_restarted(self, at_ns: int) -> None:
-        before = [attempt for attempt in self.attempts if attempt.sent_ns < at_ns]
-        self._cut(before, EndReason.SWITCH_RESTARTED)
+        earlier_attempts = [attempt for attempt in self.attempts if attempt.sent_ns < at_ns]
+        self._cut_attempts(earlier_attempts, EndReason.SWITCH_RESTARTED)
 
     def retire(self, reason: EndReason = EndReason.SWITCH_REMOVED) -> None:
-        self._cut(list(self.attempts), reason)
+        self._cut_attempts(list(self.attempts), reason)
         self.close()
 
-    def _cut(self, attempts: list[Attempt], reason: EndReason) -> None:
+    def _cut_attempts(self, attempts: list[Attempt], reason: EndReason) -> None:
         for attempt in attempts:
             if attempt.leg:
                 attempt.leg.finish(Iax.HANGUP, (IE.CAUSECODE, bytes([TIMER_EXPIRED])))
@@ -238,30 +263,40 @@
     # Keep-alive of an idle switch
 
     def _qualify(self) -> None:
-        """POKE; a switch that does not answer gets no set-up until it does."""
+        """Send a POKE at intervals. A switch that does not respond gets no set-up until it does."""
         address = self.registrar.address(self.peer.name)
         if self.retired:
             return
-        if address and (leg := self.endpoint.leg(address, Poke(self))):
-            leg.iax(Iax.POKE)
+        if address and (leg := self.endpoint.open_leg(address, Poke(self))):
+            leg.send_iax(Iax.POKE)
         self.loop.call_later(self.qualify_s, self._qualify)
 
-    def found(self, reachable: bool) -> None:
+    def set_reachable(self, reachable: bool) -> None:
+        """Take over the result of a POKE."""
         if reachable is not self.reachable:
             self.reachable = reachable
-            self.log("notice", "iax2", "reachable" if reachable else "does not answer", switch=self.name)
+            self.log(
+                "notice",
+                "iax2",
+                "switch reachable again"
+                if reachable
+                else "switch does not respond to POKE; no set-ups are sent to it",
+                switch=self.name,
+            )
 
 
 class Poke:
+    """The leg of one keep-alive POKE, which expects a PONG."""
+
     def __init__(self, switch: Iax2Switch) -> None:
         self.switch = switch
 
-    def heard(self, leg: Leg, frame: FullFrame, elements: dict[int, bytes]) -> None:
+    def on_frame(self, leg: Leg, frame: FullFrame, elements: dict[int, bytes]) -> None:
         if frame.is_iax(Iax.PONG):
             leg.linger()
-            self.switch.found(True)
+            self.switch.set_reachable(True)
 
-    def media(self, leg: Leg, frame: FullFrame | MiniFrame) -> None: ...
+    def on_media(self, leg: Leg, frame: FullFrame | MiniFrame) -> None: ...
 
-    def lost(self, leg: Leg, reason: str) -> None:
-        self.switch.found(False)
+    def on_lost(self, leg: Leg, reason: str) -> None:
+        self.switch.set_reachable(False)
--- a/tansyspur/iax2/frames.py
+++ b/tansyspur/iax2/frames.py
@@ -1,4 +1,7 @@
-"""Frames and information elements of RFC 5456, sections 8.1 to 8.6. Names and numbers are the RFC's."""
+"""Encoder and decoder for IAX2 frames and information elements (RFC 5456, sections 8.1 to 8.6).
+
+Names and numbers are those of the RFC. FrameError is raised for what cannot be decoded or encoded.
+"""
 
 import struct
 from collections.abc import Iterable
@@ -7,12 +10,12 @@
 
 FULL_HEADER = struct.Struct(">HHIBBBB")
 MINI_HEADER = struct.Struct(">HH")
-MOST_CALL_NUMBER = 0x7FFF
+MAX_CALL_NUMBER = 0x7FFF
 VERSION = 2
 
 
 class FrameError(ValueError):
-    """A datagram that is no frame."""
+    """A malformed frame or information element, or a value that cannot be encoded."""
 
 
 class FrameType(IntEnum):
@@ -29,6 +32,8 @@
 
 
 class Iax(IntEnum):
+    """Subclasses of IAX control frames (frame type IAX)."""
+
     NEW = 0x01
     PING = 0x02
     PONG = 0x03
@@ -65,6 +70,8 @@
 
 
 class Control(IntEnum):
+    """Subclasses of call control frames (frame type CONTROL)."""
+
     HANGUP = 0x01
     RINGING = 0x03
     ANSWER = 0x04
@@ -81,6 +88,8 @@
 
 
 class IE(IntEnum):
+    """Types of information elements."""
+
     CALLED_NUMBER = 0x01
     CALLING_NUMBER = 0x02
     CALLING_NAME = 0x04
@@ -100,7 +109,7 @@
     CAUSECODE = 0x2A
 
 
-# Sent without a place in the sequence (section 6.9 and 7): they are never acknowledged themselves.
+# IAX frames that do not take a sequence number (sections 6.9 and 7). They are never acknowledged themselves.
 UNSEQUENCED = (Iax.ACK, Iax.INVAL, Iax.VNAK, Iax.TXCNT, Iax.TXACC)
 AUTH_MD5 = 0x0002
 Elements = dict[int, bytes]
@@ -108,6 +117,13 @@
 
 @dataclass(slots=True, frozen=True)
 class FullFrame:
+    """A frame with the full header: signalling, or media that must arrive.
+
+    The timestamp is in milliseconds since the start of the leg. The oseqno is the frame's own sequence number; the
+    iseqno is the number of the next frame that its sender expects. A decoded subclass of -1 is the C bit with all
+    other bits set.
+    """
+
     source: int
     destination: int
     timestamp: int
@@ -122,6 +138,10 @@
         return self.frame_type == FrameType.IAX and (not subclasses or self.subclass in subclasses)
 
     def encode(self, retransmitted: bool = False, iseqno: int | None = None) -> bytes:
+        """Encode the frame, with the R bit if retransmitted; iseqno replaces the frame's own.
+
+        Raises FrameError for a subclass that cannot be encoded.
+        """
         return (
             FULL_HEADER.pack(
                 0x8000 | self.source,
@@ -138,6 +158,8 @@
 
 @dataclass(slots=True, frozen=True)
 class MiniFrame:
+    """A frame with the short header, for media. It carries the low 16 bits of the timestamp in milliseconds."""
+
     source: int
     timestamp: int
     data: memoryview | bytes
@@ -147,25 +169,28 @@
 
 
 def encode_subclass(subclass: int) -> int:
-    """As it is up to 127; beyond, as a power of two with the C bit (section 8.1.1)."""
+    """Encode a subclass up to 127 as it is, and a greater one as a power of two with the C bit (section 8.1.1)."""
     if subclass < 0x80:
         return subclass
     power = subclass.bit_length() - 1
     if subclass != 1 << power:
-        raise FrameError(f"subclass {subclass} is neither small nor a power of two")
+        raise FrameError(f"subclass {subclass} is neither below 128 nor a power of two")
     return 0x80 | power
 
 
 def decode(datagram: bytes | memoryview) -> FullFrame | MiniFrame | None:
-    """A frame whose data is a slice of the datagram; None for a meta frame, which is of no use here."""
+    """Decode a datagram. The data of the frame is a slice of it, not a copy.
+
+    Returns None for a meta frame, which is not supported. Raises FrameError if the datagram is too short.
+    """
     view = memoryview(datagram)
     if len(view) < MINI_HEADER.size:
-        raise FrameError("shorter than a mini frame")
-    first, second = MINI_HEADER.unpack_from(view)
-    if not first & 0x8000:
-        return MiniFrame(first, second, view[MINI_HEADER.size :]) if first else None
+        raise FrameError("shorter than the 4-byte header of a mini frame")
+    first_word, second_word = MINI_HEADER.unpack_from(view)
+    if not first_word & 0x8000:
+        return MiniFrame(first_word, second_word, view[MINI_HEADER.size :]) if first_word else None
     if len(view) < FULL_HEADER.size:
-        raise FrameError("shorter than a full frame")
+        raise FrameError("shorter than the 12-byte header of a full frame")
     source, destination, timestamp, oseqno, iseqno, frame_type, subclass = FULL_HEADER.unpack_from(view)
     if subclass & 0x80:
         subclass = 1 << (subclass & 0x7F) if subclass != 0xFF else -1
@@ -183,34 +208,43 @@
 
 
 def encode_elements(elements: Iterable[tuple[int, bytes | str | int]]) -> bytes:
-    """Type, length, value for each; text is UTF-8, figures are 4 octets unless given as bytes."""
-    whole = bytearray()
-    for kind, value in elements:
+    """Encode each element as type, length and value.
+
+    Text is encoded as UTF-8 and cut at 255 bytes. An integer takes 4 bytes; give bytes for another width.
+    Raises FrameError for bytes longer than 255.
+    """
+    encoded = bytearray()
+    for element_type, value in elements:
         if isinstance(value, str):
             data = value.encode("utf-8", "replace")[:255]
         else:
             data = value.to_bytes(4, "big") if isinstance(value, int) else value
         if len(data) > 255:
-            raise FrameError(f"element {kind} is too long")
-        whole += bytes((kind, len(data))) + data
-    return bytes(whole)
+            raise FrameError(f"information element {element_type} is longer than 255 bytes")
+        encoded += bytes((element_type, len(data))) + data
+    return bytes(encoded)
 
 
 def decode_elements(data: memoryview | bytes) -> Elements:
-    """All elements, unknown ones too; the first of a kind counts. Copied, as they outlive the datagram."""
-    found: Elements = {}
-    at = 0
-    while at < len(data):
-        if at + 2 > len(data) or at + 2 + data[at + 1] > len(data):
-            raise FrameError("an information element runs past the frame")
-        found.setdefault(data[at], bytes(data[at + 2 : at + 2 + data[at + 1]]))
-        at += 2 + data[at + 1]
-    return found
+    """Decode all elements, including unknown ones; of a repeated type the first one counts.
+
+    The values are copied, as they are kept longer than the datagram. Raises FrameError for a truncated element.
+    """
+    elements: Elements = {}
+    offset = 0
+    while offset < len(data):
+        if offset + 2 > len(data) or offset + 2 + data[offset + 1] > len(data):
+            raise FrameError("an information element runs past the end of the frame")
+        elements.setdefault(data[offset], bytes(data[offset + 2 : offset + 2 + data[offset + 1]]))
+        offset += 2 + data[offset + 1]
+    return elements
 
 
-def text_of(elements: Elements, kind: int) -> str:
-    return elements.get(kind, b"").decode("utf-8", "replace")
+def element_text(elements: Elements, element_type: int) -> str:
+    """The value of the element as text; empty if it is missing."""
+    return elements.get(element_type, b"").decode("utf-8", "replace")
 
 
-def number_of(elements: Elements, kind: int, default: int = 0) -> int:
-    return int.from_bytes(elements[kind], "big") if kind in elements else default
+def element_number(elements: Elements, element_type: int, default: int = 0) -> int:
+    """The value of the element as an unsigned integer of any width; the default if it is missing."""
+    return int.from_bytes(elements[element_type], "big") if element_type in elements else default
--- a/tansyspur/iax2/transport.py
+++ b/tansyspur/iax2/transport.py
@@ -1,4 +1,8 @@
-"""Reliable delivery of full frames within a call leg (RFC 5456, section 7), over one UDP socket."""
+"""Reliable transport of IAX2 frames over one UDP socket (RFC 5456, section 7).
+
+An Endpoint owns the socket and assigns each datagram to a Leg. A Leg acknowledges and orders the full frames that it
+receives, retransmits its own until they are acknowledged, and passes each received frame on to its LegUser once.
+"""
 
 import asyncio
 import itertools
@@ -9,7 +13,7 @@
 from tansyspur.core.lease import LATE_TIMER_S, LEASE_S
 from tansyspur.iax2.frames import (
     IE,
-    MOST_CALL_NUMBER,
+    MAX_CALL_NUMBER,
     UNSEQUENCED,
     FrameError,
     FrameType,
@@ -18,140 +22,156 @@
     MiniFrame,
     decode,
     decode_elements,
+    element_number,
     encode_elements,
-    number_of,
 )
 
-FIRST_RETRY_S, LONGEST_RETRY_S, MOST_RETRIES = 0.25, 10.0, 4  # the RFC's four retries, doubling
-PING_S = 3.0  # the RFC leaves it open; an unanswered one must show well within the lease
-KNOWN = frozenset(int(subclass) for subclass in Iax)
-LINGER_S = 15.0  # a leg that has ended still acknowledges repeats for so long: none becomes a new call
-MOST_LEGS = 4_000
+# The RFC allows four retransmissions. The delay doubles with each.
+FIRST_RETRY_DELAY_S, MAX_RETRY_DELAY_S, MAX_RETRIES = 0.25, 10.0, 4
+PING_INTERVAL_S = 3.0  # not set by the RFC; a PING without a response must be noticed well within the lease
+IAX_SUBCLASSES = frozenset(int(subclass) for subclass in Iax)
+# A closed leg acknowledges retransmissions for this time, so that none of them starts a new call.
+LINGER_S = 15.0
+MAX_LEGS = 4_000
 
 Address = tuple[str, int]
 Log = Callable[..., None]
 
 
 class LegUser(Protocol):
-    """Who a leg belongs to: a caller, a switch's attempt, a registration."""
+    """What a leg belongs to: a caller, an attempt at a switch, or a registration. It receives the leg's events."""
 
-    def heard(self, leg: "Leg", frame: FullFrame, elements: dict[int, bytes]) -> None:
-        """A frame in its order, once."""
+    def on_frame(self, leg: "Leg", frame: FullFrame, elements: dict[int, bytes]) -> None:
+        """A signalling frame was received. Each is reported once and in order; elements are decoded from IAX frames."""
 
-    def media(self, leg: "Leg", frame: FullFrame | MiniFrame) -> None: ...
+    def on_media(self, leg: "Leg", frame: FullFrame | MiniFrame) -> None: ...
 
-    def lost(self, leg: "Leg", reason: str) -> None:
-        """The other side does not answer, or says that it knows no such call."""
+    def on_lost(self, leg: "Leg", reason: str) -> None:
+        """The leg failed: the remote side does not respond, or sent INVAL as it has no such call."""
 
 
 class Leg:
-    """One call as the RFC has it: a pair of call numbers, two sequences, and what is not acknowledged yet."""
+    """One call in the sense of the RFC: a pair of call numbers, two sequence numbers, and unacknowledged frames.
+
+    closing: the final frame has been sent, and is not acknowledged yet. closed: only ACK and VNAK are sent.
+    """
 
     def __init__(self, endpoint: "Endpoint", number: int, address: Address, user: LegUser | None) -> None:
         self.endpoint, self.number, self.address, self.user = endpoint, number, address, user
         self.loop = asyncio.get_running_loop()
-        self.remote = 0  # the other side's call number, once known
+        self.remote = 0  # the remote side's call number; 0 until a frame with it was received
         self.oseqno = self.iseqno = 0
         self.unacked: dict[int, FullFrame] = {}
-        self.tries: dict[int, int] = {}
+        self.retries: dict[int, int] = {}
         self.timers: dict[int, asyncio.TimerHandle] = {}
-        self.started = self.loop.time()
+        self.started_at = self.loop.time()
         self.last_timestamp = -1
-        self.first_data: bytes | None = None  # of the NEW that made it, to know its repeats by
+        # Data of the frame from the remote side that opened the leg, to recognize its retransmissions.
+        self.opening_data: bytes | None = None
         self.closing = self.closed = False
         self.ping_timer: asyncio.TimerHandle | None = None
-        self.heard_at = self.started
-        self.next_ping_at = self.ping_due_at = 0.0
+        self.last_received_at = self.started_at
+        self.next_ping_at = self.keep_alive_due_at = 0.0
 
     # Sending
 
     def timestamp(self) -> int:
-        """Milliseconds since the leg's start, never the same twice."""
-        self.last_timestamp = max(self.last_timestamp + 1, int((self.loop.time() - self.started) * 1000))
+        """Milliseconds since the start of the leg; always greater than the last one."""
+        self.last_timestamp = max(self.last_timestamp + 1, int((self.loop.time() - self.started_at) * 1000))
         return self.last_timestamp
 
     def send(self, frame_type: int, subclass: int, data: bytes = b"", timestamp: int | None = None) -> None:
-        """A full frame that is repeated until it is acknowledged."""
+        """Send a full frame, and retransmit it until it is acknowledged.
+
+        Does nothing once the leg is closing. The timestamp is that of the moment unless one is given.
+        """
         if self.closed or self.closing:
             return
         stamp = self.timestamp() if timestamp is None else timestamp
         frame = FullFrame(
             self.number, self.remote, stamp, self.oseqno, self.iseqno, frame_type, subclass, data
         )
-        self.unacked[self.oseqno], self.tries[self.oseqno] = frame, 0
+        self.unacked[self.oseqno], self.retries[self.oseqno] = frame, 0
         self.oseqno = (self.oseqno + 1) % 256
         self.endpoint.send(frame.encode(), self.address)
-        self._arm(frame.oseqno, FIRST_RETRY_S)
+        self._start_retry_timer(frame.oseqno, FIRST_RETRY_DELAY_S)
 
-    def iax(self, subclass: Iax, *elements: tuple[int, bytes | str | int]) -> None:
+    def send_iax(self, subclass: Iax, *elements: tuple[int, bytes | str | int]) -> None:
+        """Send an IAX control frame with these information elements, reliably."""
         self.send(FrameType.IAX, subclass, encode_elements(elements))
 
-    def _arm(self, oseqno: int, delay_s: float) -> None:
-        self.timers[oseqno] = self.loop.call_later(delay_s, self._repeat, oseqno, delay_s)
+    def _start_retry_timer(self, oseqno: int, delay_s: float) -> None:
+        self.timers[oseqno] = self.loop.call_later(delay_s, self._on_retry_timer, oseqno, delay_s)
 
-    def _repeat(self, oseqno: int, delay_s: float) -> None:
+    def _on_retry_timer(self, oseqno: int, delay_s: float) -> None:
         frame = self.unacked[oseqno]
-        if self.tries[oseqno] >= MOST_RETRIES:
-            return self.give_up("no acknowledgement")
-        self.tries[oseqno] += 1
-        self._resend(frame)
-        self._arm(oseqno, min(LONGEST_RETRY_S, delay_s * 2))
-
-    def _resend(self, frame: FullFrame) -> None:
-        """The same frame again, marked so; the other side's call number may have become known since."""
-        again = FullFrame(
+        if self.retries[oseqno] >= MAX_RETRIES:
+            return self.give_up("frame not acknowledged after the last retransmission")
+        self.retries[oseqno] += 1
+        self._retransmit(frame)
+        self._start_retry_timer(oseqno, min(MAX_RETRY_DELAY_S, delay_s * 2))
+
+    def _retransmit(self, frame: FullFrame) -> None:
+        """Send the frame again with the R bit set; the remote call number may have been learned since."""
+        repeat = FullFrame(
             frame.source, self.remote or frame.destination, frame.timestamp, frame.oseqno, self.iseqno,
             frame.frame_type, frame.subclass, frame.data,
         )  # fmt: skip
-        self.endpoint.send(again.encode(retransmitted=True), self.address)
+        self.endpoint.send(repeat.encode(retransmitted=True), self.address)
 
-    def unsequenced(self, subclass: Iax, timestamp: int, data: bytes = b"") -> None:
+    def send_unsequenced(self, subclass: Iax, timestamp: int, data: bytes = b"") -> None:
+        """Send an IAX frame that takes no sequence number and is not retransmitted."""
         frame = FullFrame(
             self.number, self.remote, timestamp, self.oseqno, self.iseqno, FrameType.IAX, subclass, data
         )
         self.endpoint.send(frame.encode(), self.address)
 
     def keep_alive(self) -> None:
-        """PING for as long as the leg lives. One from which nothing is heard for the length of a lease is lost."""
+        """Send PING at intervals while the leg is open; call once, as it then schedules itself.
+
+        A leg that has received no frame for LEASE_S is given up.
+        """
         if self.closed or self.closing:
             return
         now = self.loop.time()
-        expires_at = self.heard_at + LEASE_S
+        expires_at = self.last_received_at + LEASE_S
         if expires_at <= now:
-            if now - self.ping_due_at <= LATE_TIMER_S:
-                return self.give_up("no sign of life")
-            # Guards against taking a pause of our own for silence: what came meanwhile is read first.
+            if now - self.keep_alive_due_at <= LATE_TIMER_S:
+                return self.give_up("nothing received for the length of the lease")
+            # This timer ran late, so the program itself was paused. Without this delay, its pause would count as
+            # silence of the remote side: the datagrams that arrived meanwhile are read first.
             expires_at = now + LATE_TIMER_S
         if now >= self.next_ping_at:
-            self.iax(Iax.PING)
-            self.next_ping_at = now + PING_S
-        self.ping_due_at = min(self.next_ping_at, expires_at)
-        self.ping_timer = self.loop.call_at(self.ping_due_at, self.keep_alive)
+            self.send_iax(Iax.PING)
+            self.next_ping_at = now + PING_INTERVAL_S
+        self.keep_alive_due_at = min(self.next_ping_at, expires_at)
+        self.ping_timer = self.loop.call_at(self.keep_alive_due_at, self.keep_alive)
 
     # Receiving
 
     def receive(self, frame: FullFrame) -> None:
-        self.heard_at = self.loop.time()
+        """Handle a full frame for this leg: acknowledge it, put it in order, and pass it on."""
+        self.last_received_at = self.loop.time()
         if not self.remote and frame.source:
             self.remote = frame.source
-        self._acknowledged(frame.iseqno)
+        self._remove_acknowledged(frame.iseqno)
         if frame.is_iax(Iax.ACK):
             return
         if frame.is_iax(Iax.INVAL):
-            return self.give_up("the other side knows no such call")
+            return self.give_up("remote side reported INVAL: it has no such call")
         if frame.is_iax(Iax.VNAK):
             for oseqno in sorted(self.unacked, key=lambda number: (number - frame.iseqno) % 256):
-                self._resend(self.unacked[oseqno])
+                self._retransmit(self.unacked[oseqno])
             return
         if frame.is_iax(*UNSEQUENCED):
             return
-        ahead = (frame.oseqno - self.iseqno) % 256
-        if ahead >= 128:  # behind: it came before, and our acknowledgement was lost
-            return self.unsequenced(Iax.ACK, frame.timestamp)
-        if ahead:  # one before it was lost
-            return self.unsequenced(Iax.VNAK, frame.timestamp)
+        distance = (frame.oseqno - self.iseqno) % 256
+        if distance >= 128:  # received before; the ACK for it was lost
+            return self.send_unsequenced(Iax.ACK, frame.timestamp)
+        if distance:  # an earlier frame was lost
+            return self.send_unsequenced(Iax.VNAK, frame.timestamp)
         self.iseqno = (self.iseqno + 1) % 256
-        self.unsequenced(Iax.ACK, frame.timestamp)
+        self.send_unsequenced(Iax.ACK, frame.timestamp)
         if self.closing or self.closed:
             return
         self._deliver(frame)
@@ -161,24 +181,24 @@
             return self.send(FrameType.IAX, Iax.PONG, timestamp=frame.timestamp)
         if frame.is_iax(Iax.LAGRQ):
             return self.send(FrameType.IAX, Iax.LAGRP, timestamp=frame.timestamp)
-        if frame.is_iax() and frame.subclass not in KNOWN:
-            return self.iax(Iax.UNSUPPORT, (IE.IAX_UNKNOWN, bytes([frame.subclass & 0xFF])))
+        if frame.is_iax() and frame.subclass not in IAX_SUBCLASSES:
+            return self.send_iax(Iax.UNSUPPORT, (IE.IAX_UNKNOWN, bytes([frame.subclass & 0xFF])))
         if self.user is None:
             return
         if frame.frame_type in (FrameType.VOICE, FrameType.VIDEO, FrameType.COMFORT_NOISE, FrameType.DTMF):
-            return self.user.media(self, frame)
+            return self.user.on_media(self, frame)
         try:
             elements = decode_elements(frame.data) if frame.is_iax() else {}
         except FrameError as error:
             return self.endpoint.log("warning", "iax2", f"frame dropped: {error}", peer=self.address[0])
-        self.user.heard(self, frame, elements)
+        self.user.on_frame(self, frame, elements)
         if frame.is_iax(Iax.HANGUP, Iax.REJECT):
             self.linger()
 
-    def _acknowledged(self, iseqno: int) -> None:
-        """All before it have arrived."""
+    def _remove_acknowledged(self, iseqno: int) -> None:
+        """Forget the frames before iseqno: the remote side has received them."""
         for oseqno in [number for number in self.unacked if 0 < (iseqno - number) % 256 < 128]:
-            del self.unacked[oseqno], self.tries[oseqno]
+            del self.unacked[oseqno], self.retries[oseqno]
             self.timers.pop(oseqno).cancel()
         if self.closing and not self.unacked:
             self.linger()
@@ -186,51 +206,56 @@
     # Ending
 
     def finish(self, subclass: Iax, *elements: tuple[int, bytes | str | int]) -> None:
-        """The last frame of the leg, still repeated until it is acknowledged."""
+        """Send the final frame of the leg; it is retransmitted until it is acknowledged, then the leg closes."""
         if not self.closing and not self.closed:
             first = self.unacked.get(0)
             if first is not None and first.is_iax(Iax.NEW):
-                # Guards against a set-up that is repeated, and so leaves, after it was given up. Other frames
-                # before the last one are still owed: without them it would be out of order at the far end.
+                # Prevents a set-up from being retransmitted, and so sent, after it was given up. Other frames before
+                # the final one are still retransmitted: without them it would be out of order at the remote side.
                 self.timers.pop(0).cancel()
-                del self.unacked[0], self.tries[0]
-            self.iax(subclass, *elements)
+                del self.unacked[0], self.retries[0]
+            self.send_iax(subclass, *elements)
             self.closing = True
 
     def give_up(self, reason: str) -> None:
+        """Close the leg as failed. The user is notified unless the final frame had been sent."""
         if not self.closed:
-            told = self.user if not self.closing else None
+            notified_user = self.user if not self.closing else None
             self.linger()
-            if told:
-                told.lost(self, reason)
+            if notified_user:
+                notified_user.on_lost(self, reason)
 
     def linger(self) -> None:
-        """Over. It stays known for a while, so that repeats are acknowledged and make no new call."""
+        """Close the leg. The endpoint keeps it for LINGER_S, to acknowledge retransmissions."""
         if not self.closed:
             self.closed = True
             for timer in self.timers.values():
                 timer.cancel()
             if self.ping_timer:
                 self.ping_timer.cancel()
-            self.unacked, self.tries, self.timers = {}, {}, {}
+            self.unacked, self.retries, self.timers = {}, {}, {}
             self.user = None
             self.loop.call_later(LINGER_S, self.endpoint.forget, self)
 
 
 class Endpoint(asyncio.DatagramProtocol):
-    """The socket: frames to legs, by our call number, or by the other side's address and call number."""
+    """The UDP socket. Assigns frames to legs by the local call number, or by remote address and call number.
+
+    A datagram that cannot be decoded is logged and dropped.
+    """
 
-    def __init__(self, log: Log, rng: random.Random, most_legs: int = MOST_LEGS) -> None:
-        self.log, self.rng, self.most_legs = log, rng, most_legs
+    def __init__(self, log: Log, rng: random.Random, max_legs: int = MAX_LEGS) -> None:
+        self.log, self.rng, self.max_legs = log, rng, max_legs
         self.legs: dict[int, Leg] = {}
-        self.by_remote: dict[tuple[Address, int], Leg] = {}
-        self.numbers = itertools.cycle(range(1, MOST_CALL_NUMBER))
-        # Who takes a NEW, REGREQ or REGREL that belongs to no leg; None refuses it.
+        self.legs_by_remote: dict[tuple[Address, int], Leg] = {}
+        self.call_numbers = itertools.cycle(range(1, MAX_CALL_NUMBER))
+        # Called with a new leg for a NEW, REGREQ or REGREL. Returns the user of the leg; None if it was refused.
         self.on_new: Callable[[Leg, FullFrame, dict[int, bytes]], LegUser | None] = lambda *_: None
-        self.is_available: Callable[[], bool] = lambda: True  # whether a POKE is to be answered with PONG
+        self.is_available: Callable[[], bool] = lambda: True  # whether a POKE is answered with PONG
         self.transport: asyncio.DatagramTransport | None = None
 
     async def open(self, host: str, port: int) -> None:
+        """Bind the socket. Raises OSError if the address cannot be bound."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
@@ -246,67 +271,69 @@
             self.transport.sendto(datagram, address)
 
     def error_received(self, exc: Exception) -> None:
-        self.log("debug", "iax2", f"a datagram was not taken: {exc}")
+        self.log("debug", "iax2", f"datagram not delivered: {exc}")
 
-    def leg(self, address: Address, user: LegUser | None) -> Leg | None:
-        """A new leg with a free call number; None when there are too many, or the socket is not ours yet."""
-        if len(self.legs) >= self.most_legs or self.transport is None:
+    def open_leg(self, address: Address, user: LegUser | None) -> Leg | None:
+        """Create a leg with a free call number. Returns None at the limit of legs, or while the socket is not open."""
+        if len(self.legs) >= self.max_legs or self.transport is None:
             return None
-        number = next(number for number in self.numbers if number not in self.legs)
-        made = self.legs[number] = Leg(self, number, address, user)
-        return made
+        number = next(number for number in self.call_numbers if number not in self.legs)
+        leg = self.legs[number] = Leg(self, number, address, user)
+        return leg
 
     def forget(self, leg: Leg) -> None:
         if self.legs.get(leg.number) is leg:
             del self.legs[leg.number]
         for key in [(leg.address, leg.remote)]:
-            if self.by_remote.get(key) is leg:
-                del self.by_remote[key]
+            if self.legs_by_remote.get(key) is leg:
+                del self.legs_by_remote[key]
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         try:
             frame = decode(data)
             if isinstance(frame, MiniFrame):
-                leg = self.by_remote.get((addr, frame.source))
+                leg = self.legs_by_remote.get((addr, frame.source))
                 if leg and leg.user:
-                    leg.heard_at = leg.loop.time()
-                    leg.user.media(leg, frame)
+                    leg.last_received_at = leg.loop.time()
+                    leg.user.on_media(leg, frame)
             elif frame is not None:
-                self._full(frame, addr)
+                self._receive_full(frame, addr)
         except FrameError as error:
-            self.log("warning", "iax2", f"datagram dropped: {error}", peer=addr[0])
-        except Exception as error:  # noqa: BLE001 - one bad datagram must not end the front
-            self.log("error", "iax2", f"datagram dropped: {error!r}", peer=addr[0])
+            self.log("warning", "iax2", f"malformed datagram dropped: {error}", peer=addr[0])
+        except Exception as error:  # noqa: BLE001 - one bad datagram must not stop the endpoint
+            self.log("error", "iax2", f"datagram dropped after an internal error: {error!r}", peer=addr[0])
 
-    def _full(self, frame: FullFrame, addr: Address) -> None:
+    def _receive_full(self, frame: FullFrame, addr: Address) -> None:
         if frame.destination:
             leg = self.legs.get(frame.destination)
-            known = leg is not None and leg.address == addr and leg.remote in (0, frame.source)
+            belongs_to_leg = leg is not None and leg.address == addr and leg.remote in (0, frame.source)
         else:
-            leg = self.by_remote.get((addr, frame.source))
-            known = leg is not None
-        if known and leg is not None:
-            if frame.is_iax(Iax.NEW) and leg.closed and self._is_another(frame, leg):
+            leg = self.legs_by_remote.get((addr, frame.source))
+            belongs_to_leg = leg is not None
+        if belongs_to_leg and leg is not None:
+            if frame.is_iax(Iax.NEW) and leg.closed and self._starts_new_call(frame, leg):
                 self.forget(leg)
             else:
                 if leg.remote == 0 and frame.source:
-                    self.by_remote[addr, frame.source] = leg
+                    self.legs_by_remote[addr, frame.source] = leg
                 return leg.receive(frame)
         if frame.is_iax(Iax.NEW, Iax.REGREQ, Iax.REGREL, Iax.POKE) and not frame.destination and frame.source:
-            return self._first(frame, addr)
+            return self._receive_without_leg(frame, addr)
         if not frame.is_iax(Iax.INVAL, Iax.ACK, Iax.VNAK, Iax.HANGUP, Iax.REJECT):
-            self._invalid(frame, addr)
+            self._send_inval(frame, addr)
 
-    def _is_another(self, frame: FullFrame, leg: Leg) -> bool:
-        """A call number used again for a new call, and no repeat of the NEW that made the leg."""
-        return not frame.retransmitted and leg.first_data != bytes(frame.data)
+    def _starts_new_call(self, frame: FullFrame, leg: Leg) -> bool:
+        """Whether the NEW reuses the call number of a closed leg, and does not repeat the frame that opened it."""
+        return not frame.retransmitted and leg.opening_data != bytes(frame.data)
 
-    def _first(self, frame: FullFrame, addr: Address) -> None:
+    def _receive_without_leg(self, frame: FullFrame, addr: Address) -> None:
+        """Answer a POKE, or open a leg for a NEW, REGREQ or REGREL."""
         if frame.is_iax(Iax.POKE):
             if not self.is_available():
-                return self._invalid(frame, addr)  # not a PONG: the other side places its calls elsewhere
+                # Without a PONG the remote side sends its calls elsewhere.
+                return self._send_inval(frame, addr)
             pong = FullFrame(
-                MOST_CALL_NUMBER,
+                MAX_CALL_NUMBER,
                 frame.source,
                 frame.timestamp,
                 0,
@@ -316,20 +343,20 @@
             )
             return self.send(pong.encode(), addr)
         elements = decode_elements(frame.data)
-        if frame.is_iax(Iax.NEW) and number_of(elements, IE.VERSION) != 2:
-            return self._invalid(frame, addr)  # section 8.6.10: another version is not spoken
-        leg = self.leg(addr, None)
+        if frame.is_iax(Iax.NEW) and element_number(elements, IE.VERSION) != 2:
+            return self._send_inval(frame, addr)  # section 8.6.10: only version 2 is supported
+        leg = self.open_leg(addr, None)
         if leg is None:
-            return self.log("warning", "iax2", "too many legs", peer=addr[0])
-        leg.remote, leg.first_data = frame.source, bytes(frame.data)
-        self.by_remote[addr, frame.source] = leg
+            return self.log("warning", "iax2", "too many legs; frame ignored", peer=addr[0])
+        leg.remote, leg.opening_data = frame.source, bytes(frame.data)
+        self.legs_by_remote[addr, frame.source] = leg
         leg.iseqno = (frame.oseqno + 1) % 256
-        leg.unsequenced(Iax.ACK, frame.timestamp)
+        leg.send_unsequenced(Iax.ACK, frame.timestamp)
         leg.user = self.on_new(leg, frame, elements)
 
-    def _invalid(self, frame: FullFrame, addr: Address) -> None:
-        answer = FullFrame(
+    def _send_inval(self, frame: FullFrame, addr: Address) -> None:
+        inval = FullFrame(
             frame.destination, frame.source, frame.timestamp, frame.iseqno, frame.oseqno + 1 & 0xFF,
             FrameType.IAX, Iax.INVAL,
         )  # fmt: skip
-        self.send(answer.encode(), addr)
+        self.send(inval.encode(), addr)
