--- a/tansyspur/iax2/back.py
+++ b/tansyspur/iax2/back.py
@@ -263,7 +263,7 @@
     # Keep-alive of an idle switch
 
     def _qualify(self) -> None:
-        """Send a POKE at intervals. A switch that does not respond gets no set-up until it does."""
+        """Send a POKE at intervals. A switch that does not answer with PONG gets no set-up until it does."""
         address = self.registrar.address(self.peer.name)
         if self.retired:
             return
@@ -272,7 +272,7 @@
         self.loop.call_later(self.qualify_s, self._qualify)
 
     def set_reachable(self, reachable: bool) -> None:
-        """Take over the result of a POKE."""
+        """Store the result of a POKE, and log a change."""
         if reachable is not self.reachable:
             self.reachable = reachable
             self.log(
@@ -280,7 +280,7 @@
                 "iax2",
                 "switch reachable again"
                 if reachable
-                else "switch does not respond to POKE; no set-ups are sent to it",
+                else "switch did not answer POKE with PONG; no set-ups are sent to it",
                 switch=self.name,
             )
 
--- a/tansyspur/iax2/transport.py
+++ b/tansyspur/iax2/transport.py
@@ -62,7 +62,7 @@
         self.remote = 0  # the remote side's call number; 0 until a frame with it was received
         self.oseqno = self.iseqno = 0
         self.unacked: dict[int, FullFrame] = {}
-        self.retries: dict[int, int] = {}
+        self.retries: dict[int, int] = {}  # retransmissions so far, by oseqno as are the frames and timers
         self.timers: dict[int, asyncio.TimerHandle] = {}
         self.started_at = self.loop.time()
         self.last_timestamp = -1
@@ -282,6 +282,7 @@
         return leg
 
     def forget(self, leg: Leg) -> None:
+        """Remove a closed leg; its call numbers may be used again."""
         if self.legs.get(leg.number) is leg:
             del self.legs[leg.number]
         for key in [(leg.address, leg.remote)]:
