--- a/tansyspur/planner/__init__.py
+++ b/tansyspur/planner/__init__.py
@@ -1,1 +1,1 @@
-"""Forecasts of a fleet's service under a load, by the loss formulas of traffic engineering; no I/O."""
+"""Capacity planner: forecasts the service of a fleet under a load with the loss formulas of teletraffic engineering."""
--- a/tansyspur/planner/exact.py
+++ b/tansyspur/planner/exact.py
@@ -1,7 +1,7 @@
-"""A mesh of three switches as an exact Markov chain, to hold the fixed point against; no I/O.
+"""Exact Markov chain of a mesh of three switches, a reference for the fixed-point approximation in network.py.
 
-Calls of one width are lost when neither their own group nor the one tandem has room; the tandem takes them while
-each of its legs keeps `reserved` circuits free. No waiting, no processors, no redials.
+Every call takes one circuit. A call that finds its own group full goes over the third switch as tandem if more than
+`reserved` circuits are free on both legs, else it is lost. There is no waiting, no processor limit and no redial.
 """
 
 from itertools import product
@@ -16,54 +16,55 @@
 def three_switches(
     offered: tuple[float, float, float], circuits: tuple[int, int, int], reserved: int
 ) -> tuple:
-    """Share of the calls lost on each pair, and share of them that find their own group full.
+    """Solves the chain: (lost share of each pair, share that finds its own group full, number of states).
 
-    offered: erlang between switches 1-2, 1-3 and 2-3; circuits: of the groups in the same order. States are the
-    direct calls on each group and the calls of each pair over the third switch, which take one of each other group.
+    offered: erlang between switches 1-2, 1-3 and 2-3; circuits: sizes of their groups in the same order. A state
+    counts the direct calls on each group and each pair's calls over the third switch, which take one circuit on each
+    of the two other groups.
     """
 
-    def fits(state: tuple[int, ...]) -> tuple[int, int, int]:
-        direct, over = state[:3], state[3:]
-        total = sum(over)
-        # A pair's call over a tandem takes one circuit on each of the two other groups.
-        return tuple(circuits[g] - direct[g] - (total - over[g]) for g in range(3))  # type: ignore[return-value]
+    def free_circuits(state: tuple[int, ...]) -> tuple[int, int, int]:
+        direct, overflow = state[:3], state[3:]
+        total = sum(overflow)
+        # The overflow of a pair occupies the two other groups, not its own.
+        return tuple(circuits[g] - direct[g] - (total - overflow[g]) for g in range(3))  # type: ignore[return-value]
 
-    most = max(circuits)
-    states = [s for s in product(range(most + 1), repeat=6) if min(fits(s)) >= 0]
-    number = {state: i for i, state in enumerate(states)}
+    largest = max(circuits)
+    states = [state for state in product(range(largest + 1), repeat=6) if min(free_circuits(state)) >= 0]
+    index = {state: i for i, state in enumerate(states)}
     rows, columns, values = [], [], []
     blocked, lost = np.zeros((3, len(states))), np.zeros((3, len(states)))
 
-    def flow(source: int, to: tuple[int, ...], rate: float) -> None:
-        target = number[to]
+    def add_transition(source: int, target_state: tuple[int, ...], rate: float) -> None:
+        target = index[target_state]
         rows.extend((target, source))
         columns.extend((source, source))
         values.extend((rate, -rate))
 
     for i, state in enumerate(states):
-        free = fits(state)
+        free = free_circuits(state)
         for g in range(3):
-            up = list(state)
+            after = list(state)
             if free[g] > 0:
-                up[g] += 1
-                flow(i, tuple(up), offered[g])
+                after[g] += 1
+                add_transition(i, tuple(after), offered[g])
             else:
                 blocked[g, i] = 1
                 others = [free[h] for h in range(3) if h != g]
                 if min(others) > reserved:
-                    up[3 + g] += 1
-                    flow(i, tuple(up), offered[g])
+                    after[3 + g] += 1
+                    add_transition(i, tuple(after), offered[g])
                 else:
                     lost[g, i] = 1
         for k in range(6):
             if state[k]:
-                down = list(state)
-                down[k] -= 1
-                flow(i, tuple(down), float(state[k]))
+                after = list(state)
+                after[k] -= 1
+                add_transition(i, tuple(after), float(state[k]))
     count = len(states)
     matrix = csc_matrix((values, (rows, columns)), shape=(count, count)).tolil()
-    matrix[-1, :] = 1.0  # the shares add up to one, in place of one balance that follows from the others
-    right = np.zeros(count)
-    right[-1] = 1.0
-    share = spsolve(matrix.tocsc(), right)
-    return lost @ share, blocked @ share, count
+    matrix[-1, :] = 1.0  # normalization replaces one balance equation, which follows from the others
+    right_side = np.zeros(count)
+    right_side[-1] = 1.0
+    probability = spsolve(matrix.tocsc(), right_side)
+    return lost @ probability, blocked @ probability, count
--- a/tansyspur/planner/fleet.py
+++ b/tansyspur/planner/fleet.py
@@ -1,4 +1,9 @@
-"""A fleet and a load as the planner and the rig read them: checked against each other, and plain."""
+"""Data model of a fleet of store switches and of the load offered to it, shared by the planner and the rig.
+
+`fleet_from_record` and `load_from_record` build the model from validated records and check the references between
+their parts; `record_from_load` writes a load back. Unless a comment says otherwise, times are in seconds, rates per
+second, sizes in circuits, and shares and probabilities lie between 0 and 1.
+"""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
@@ -6,51 +11,60 @@
 
 
 class PlanError(ValueError):
-    """A fleet or a load that cannot be used; the text names the path of each thing that is wrong."""
+    """A fleet or a load that cannot be used.
+
+    `problems` lists every problem that was found; those of a record start with the path of the offending value.
+    """
 
-    def __init__(self, troubles: Iterable[str]) -> None:
-        self.problems = list(troubles)
+    def __init__(self, problems: Iterable[str]) -> None:
+        self.problems = list(problems)
         super().__init__("\n".join(self.problems))
 
 
 @dataclass(slots=True, frozen=True)
 class StoreSwitch:
+    """A carrier switch in a store. Its processor alternates between periods with and without other work."""
+
     name: str
     depot: str
-    setups_per_s: float  # set-ups a second that its processor can do
-    queue_limit_s: float = 2.0  # a longer wait turns set-ups away
-    other_share: float = 0.0  # of the processor, while other work is on
-    other_on_s: float = 3.0
-    other_off_s: float = 3.0
+    setups_per_s: float  # capacity of the processor when no other work runs
+    queue_limit_s: float = 2.0  # set-ups that would wait longer than this are rejected
+    other_share: float = 0.0  # share of the processor that other work takes while it runs
+    other_on_s: float = 3.0  # mean length of a period with other work
+    other_off_s: float = 3.0  # mean length of a period without it
 
     @property
-    def other_mean(self) -> float:
-        """Share of the processor that other work takes over a long time."""
+    def mean_other_share(self) -> float:
+        """Share of the processor that other work takes, averaged over both kinds of period."""
         return self.other_share * self.other_on_s / (self.other_on_s + self.other_off_s)
 
 
 @dataclass(slots=True, frozen=True)
 class Group:
+    """A trunk group between two store switches, given by their names."""
+
     ends: tuple[str, str]
     circuits: int
 
 
 @dataclass(slots=True, frozen=True)
 class Work:
-    """Of a call, in set-ups."""
+    """Processor work of the other messages of a call, in units of the work of one set-up."""
 
-    look: float = 0.2
-    reject: float = 0.2
-    answer: float = 0.2
-    release: float = 0.2
+    look: float = 0.2  # examining a call at the switch where it arrives, also if it is refused afterwards
+    reject: float = 0.2  # rejecting a set-up because the queue of the processor is too long
+    answer: float = 0.2  # at each switch on the route
+    release: float = 0.2  # at each switch on the route
 
 
 @dataclass(slots=True, frozen=True)
 class Rules:
+    """Settings of the gatekeepers; interface.Settings describes the last four."""
+
     max_attempts: int = 5
-    release_delay_s: float = 0.2
-    retry_after_s: float = 2.0
-    fill_reports: bool = True
+    release_delay_s: float = 0.2  # before a call is sent again after a time-out, cut or cancellation
+    retry_after_s: float = 2.0  # longest retry-after time that callers are given
+    fill_reports: bool = True  # gatekeepers report to each other how full their groups are
     cold_share: float = 0.31
     ramp_s: float = 13.0
     overload_factor: float = 3.0
@@ -59,63 +73,77 @@
 
 @dataclass(slots=True, frozen=True)
 class Fleet:
+    """Store switches, the trunk groups between them, and the one-way transmission delays."""
+
     switches: tuple[StoreSwitch, ...]
     groups: tuple[Group, ...]
-    same_s: float = 0.005
-    cross_s: float = 0.016
-    between_s: Mapping[frozenset[str], float] = field(default_factory=dict)  # one way, by pairs of depots
+    same_s: float = 0.005  # between switches of one depot
+    cross_s: float = 0.016  # between depots that `between_s` does not list
+    between_s: Mapping[frozenset[str], float] = field(default_factory=dict)  # by pair of depots
     work: Work = Work()
     rules: Rules = Rules()
 
     @property
     def names(self) -> list[str]:
-        return [one.name for one in self.switches]
+        """Names of the switches, in the order of the fleet."""
+        return [switch.name for switch in self.switches]
 
     @property
     def depots(self) -> list[str]:
-        return list(dict.fromkeys(one.depot for one in self.switches))
+        """Names of the depots, in order of first appearance."""
+        return list(dict.fromkeys(switch.depot for switch in self.switches))
 
     def delay_s(self, a: StoreSwitch, b: StoreSwitch) -> float:
-        """One way."""
+        """One-way transmission delay between two switches."""
         if a.depot == b.depot:
             return self.same_s
         return self.between_s.get(frozenset((a.depot, b.depot)), self.cross_s)
 
     def without(self, depots: Iterable[str] = (), switches: Iterable[str] = ()) -> "Fleet":
-        """The same fleet when these are lost. Raises PlanError for a name that it does not have."""
+        """A copy without these depots and switches, and without the trunk groups that end at them.
+
+        Raises PlanError for an unknown name, and if no switch would be left.
+        """
         depots, switches = list(depots), list(switches)
-        unknown = [f"no depot is named {one!r}; there are {', '.join(self.depots)}"
-                   for one in depots if one not in self.depots]  # fmt: skip
-        unknown += [f"no switch is named {one!r}; there are {', '.join(self.names)}"
-                    for one in switches if one not in self.names]  # fmt: skip
+        unknown = [f"no depot is named {depot!r}; there are {', '.join(self.depots)}"
+                   for depot in depots if depot not in self.depots]  # fmt: skip
+        unknown += [f"no switch is named {name!r}; there are {', '.join(self.names)}"
+                    for name in switches if name not in self.names]  # fmt: skip
         if unknown:
             raise PlanError(unknown)
-        kept = tuple(one for one in self.switches if one.depot not in depots and one.name not in switches)
+        kept = tuple(
+            switch for switch in self.switches if switch.depot not in depots and switch.name not in switches
+        )
         if not kept:
             raise PlanError(["no store switch would be left"])
-        names = {one.name for one in kept}
-        groups = tuple(one for one in self.groups if set(one.ends) <= names)
+        names = {switch.name for switch in kept}
+        groups = tuple(group for group in self.groups if set(group.ends) <= names)
         return replace(self, switches=kept, groups=groups)
 
     def with_circuits(self, circuits: Mapping[tuple[str, str], int]) -> "Fleet":
-        groups = tuple(replace(one, circuits=circuits.get(one.ends, one.circuits)) for one in self.groups)
+        """A copy with new sizes for the groups listed by their `ends`; the other groups keep theirs."""
+        groups = tuple(
+            replace(group, circuits=circuits.get(group.ends, group.circuits)) for group in self.groups
+        )
         return replace(self, groups=groups)
 
 
 @dataclass(slots=True, frozen=True)
 class CallClass:
+    """Calls with a common holding time, value and delay requirement."""
+
     name: str
-    holding_time_s: float
-    objective_s: float
-    deadline_s: float
-    worth: float = 1.0
-    late_worth: float = 0.0
-    width: int = 1
+    holding_time_s: float  # mean
+    objective_s: float  # a call that is answered within this set-up delay counts in full
+    deadline_s: float  # redials end here, counted from the first try
+    worth: float = 1.0  # weight of the class in the service
+    late_worth: float = 0.0  # share of the worth that a call answered after the objective earns
+    width: int = 1  # circuits that a call takes
 
 
 @dataclass(slots=True, frozen=True)
 class Stream:
-    """Calls of one class from one store switch to another; calls a second in each window."""
+    """Calls of one class from one store switch to another, with one rate for each window of the load."""
 
     origin: str
     destination: str
@@ -125,15 +153,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Redial:
+    """Behaviour of callers whose call was not answered."""
+
     max_redials: int = 3
-    wait_s: float = 1.0
-    patience_share: float = 0.35  # share of the class's deadline
-    heed_share: float = 0.75
+    wait_s: float = 1.0  # pause before each redial
+    patience_share: float = 0.35  # share of the class's deadline that a caller waits before giving up a try
+    heed_share: float = 0.75  # share of the callers that observe the retry-after time of a refusal
 
 
 @dataclass(slots=True, frozen=True)
 class Load:
-    windows_s: tuple[float, ...]
+    """Offered calls: streams whose rates are constant within each window."""
+
+    windows_s: tuple[float, ...]  # length of each window
     classes: tuple[CallClass, ...]
     streams: tuple[Stream, ...]
     redial: Redial = Redial()
@@ -142,40 +174,49 @@
 
     @property
     def span_s(self) -> float:
+        """Total length of all windows."""
         return sum(self.windows_s)
 
     @property
     def total_calls(self) -> float:
-        """First tries over the whole span."""
+        """Expected number of calls over the whole span, without redials."""
         return sum(
             rate * length
-            for one in self.streams
-            for rate, length in zip(one.calls_per_s, self.windows_s, strict=True)
+            for stream in self.streams
+            for rate, length in zip(stream.calls_per_s, self.windows_s, strict=True)
         )
 
     def class_named(self, name: str) -> CallClass:
-        return next(kind for kind in self.classes if kind.name == name)
+        """The class of that name. Raises StopIteration if there is none."""
+        return next(call_class for call_class in self.classes if call_class.name == name)
 
     def scaled(self, factor: float) -> "Load":
+        """A copy with every rate multiplied by the factor."""
         streams = tuple(
-            replace(one, calls_per_s=tuple(rate * factor for rate in one.calls_per_s)) for one in self.streams
+            replace(stream, calls_per_s=tuple(rate * factor for rate in stream.calls_per_s))
+            for stream in self.streams
         )
         return replace(self, streams=streams)
 
     def restricted_to(self, names: Iterable[str]) -> "Load":
-        """What is left of it among these store switches."""
+        """A copy with only the streams whose origin and destination are both among these switches."""
         kept = set(names)
-        streams = tuple(one for one in self.streams if one.origin in kept and one.destination in kept)
+        streams = tuple(
+            stream for stream in self.streams if stream.origin in kept and stream.destination in kept
+        )
         return replace(self, streams=streams)
 
 
 def fleet_from_record(record: Mapping[str, Any]) -> Fleet:
-    """A fleet from a record of the schema `fleet`. Raises PlanError with every contradiction in it."""
-    troubles: list[str] = []
+    """Builds a fleet from a record of the schema `fleet`.
+
+    Raises PlanError with all problems: duplicate names or groups, and references to unknown switches or depots.
+    """
+    problems: list[str] = []
     switches = []
     for i, row in enumerate(record["switches"]):
-        if row["name"] in {one.name for one in switches}:
-            troubles.append(f"switches[{i}].name: {row['name']!r} is there twice")
+        if row["name"] in {switch.name for switch in switches}:
+            problems.append(f"switches[{i}].name: duplicate switch name {row['name']!r}")
         other = row["other"]
         switches.append(
             StoreSwitch(
@@ -183,30 +224,32 @@
                 other["off"],
             )
         )  # fmt: skip
-    names, depots = {one.name for one in switches}, {one.depot for one in switches}
+    names, depots = {switch.name for switch in switches}, {switch.depot for switch in switches}
     for i, row in enumerate(switches):
         if record["depots"] and row.depot not in record["depots"]:
-            troubles.append(f"switches[{i}].depot: {row.depot!r} is not among depots")
+            problems.append(f"switches[{i}].depot: {row.depot!r} is not listed in depots")
     groups, seen = [], set()
     for i, row in enumerate(record["groups"]):
         first, second = row["ends"]
-        troubles += [
-            f"groups[{i}].ends: no switch is named {one!r}" for one in row["ends"] if one not in names
+        problems += [
+            f"groups[{i}].ends: no switch is named {name!r}" for name in row["ends"] if name not in names
         ]
         if first == second:
-            troubles.append(f"groups[{i}].ends: both are {first!r}")
+            problems.append(f"groups[{i}].ends: both ends are {first!r}")
         if frozenset(row["ends"]) in seen:
-            troubles.append(f"groups[{i}].ends: a second group between {first!r} and {second!r}")
+            problems.append(f"groups[{i}].ends: duplicate group between {first!r} and {second!r}")
         seen.add(frozenset(row["ends"]))
         groups.append(Group((first, second), row["circuits"]))
     between = {}
     for i, row in enumerate(record["delay"]["between"]):
-        troubles += [
-            f"delay.between[{i}].ends: no depot is named {one!r}" for one in row["ends"] if one not in depots
+        problems += [
+            f"delay.between[{i}].ends: no depot is named {depot!r}"
+            for depot in row["ends"]
+            if depot not in depots
         ]
         between[frozenset(row["ends"])] = row["delay"]
-    if troubles:
-        raise PlanError(troubles)
+    if problems:
+        raise PlanError(problems)
     rules = record["rules"]
     return Fleet(
         tuple(switches), tuple(groups), record["delay"]["same"], record["delay"]["cross"], between,
@@ -219,15 +262,18 @@
 
 
 def load_from_record(record: Mapping[str, Any], fleet: Fleet | None = None) -> Load:
-    """A load from a record of the schema `load`, checked against the fleet it is for."""
-    troubles: list[str] = []
+    """Builds a load from a record of the schema `load`.
+
+    With a fleet, the names of switches are checked against it. Raises PlanError with all problems.
+    """
+    problems: list[str] = []
     classes = []
     for i, row in enumerate(record["classes"]):
-        if row["name"] in {one.name for one in classes}:
-            troubles.append(f"classes[{i}].name: {row['name']!r} is there twice")
+        if row["name"] in {call_class.name for call_class in classes}:
+            problems.append(f"classes[{i}].name: duplicate class name {row['name']!r}")
         if row["aim"] > row["deadline"]:
-            troubles.append(
-                f"classes[{i}].aim: {row['aim']:g}s is beyond the deadline of {row['deadline']:g}s"
+            problems.append(
+                f"classes[{i}].aim: objective of {row['aim']:g}s is longer than the deadline of {row['deadline']:g}s"
             )
         classes.append(
             CallClass(
@@ -240,23 +286,23 @@
                 row["width"],
             )
         )
-    named, windows = {one.name for one in classes}, record["windows"]
-    names = set(fleet.names) if fleet else None
+    class_names, windows = {call_class.name for call_class in classes}, record["windows"]
+    switch_names = set(fleet.names) if fleet else None
     streams = []
     for i, row in enumerate(record["streams"]):
         for key in ("from", "to"):
-            if names is not None and row[key] not in names:
-                troubles.append(f"streams[{i}].{key}: no switch of the fleet is named {row[key]!r}")
+            if switch_names is not None and row[key] not in switch_names:
+                problems.append(f"streams[{i}].{key}: no switch of the fleet is named {row[key]!r}")
         if row["from"] == row["to"]:
-            troubles.append(f"streams[{i}].to: a call to its own switch, {row['to']!r}, is not routed")
-        if row["class"] not in named:
-            troubles.append(f"streams[{i}].class: no class is named {row['class']!r}")
-        calls = row["calls"] if isinstance(row["calls"], list) else [row["calls"]] * len(windows)
-        if len(calls) != len(windows):
-            troubles.append(f"streams[{i}].calls: {len(calls)} figures for {len(windows)} windows")
-        streams.append(Stream(row["from"], row["to"], row["class"], tuple(calls)))
-    if troubles:
-        raise PlanError(troubles)
+            problems.append(f"streams[{i}].to: calls from {row['to']!r} to itself are not routed")
+        if row["class"] not in class_names:
+            problems.append(f"streams[{i}].class: no class is named {row['class']!r}")
+        rates = row["calls"] if isinstance(row["calls"], list) else [row["calls"]] * len(windows)
+        if len(rates) != len(windows):
+            problems.append(f"streams[{i}].calls: {len(rates)} rates for {len(windows)} windows")
+        streams.append(Stream(row["from"], row["to"], row["class"], tuple(rates)))
+    if problems:
+        raise PlanError(problems)
     redial = record["redial"]
     return Load(
         tuple(windows), tuple(classes), tuple(streams),
@@ -266,20 +312,22 @@
 
 
 def record_from_load(load: Load) -> dict[str, Any]:
-    """The record that `load_from_record` reads back."""
+    """The record from which `load_from_record` builds an equal load."""
     return {
         "windows": list(load.windows_s),
         "classes": [
-            {"name": one.name, "hold": one.holding_time_s, "aim": one.objective_s, "deadline": one.deadline_s,
-             "worth": one.worth, "late_worth": one.late_worth, "width": one.width}
-            for one in load.classes
+            {"name": call_class.name, "hold": call_class.holding_time_s, "aim": call_class.objective_s,
+             "deadline": call_class.deadline_s, "worth": call_class.worth, "late_worth": call_class.late_worth,
+             "width": call_class.width}
+            for call_class in load.classes
         ],
         "streams": [
-            {"from": one.origin, "to": one.destination, "class": one.class_name, "calls": list(one.calls_per_s)}
-            for one in load.streams
+            {"from": stream.origin, "to": stream.destination, "class": stream.class_name,
+             "calls": list(stream.calls_per_s)}
+            for stream in load.streams
         ],
-        "redial": {"tries": load.redial.max_redials, "wait": load.redial.wait_s, "patience": load.redial.patience_share,
-                   "heeds": load.redial.heed_share},
+        "redial": {"tries": load.redial.max_redials, "wait": load.redial.wait_s,
+                   "patience": load.redial.patience_share, "heeds": load.redial.heed_share},
         "holding": load.holding_distribution,
         "notes": list(load.notes),
     }  # fmt: skip
--- a/tansyspur/planner/questions.py
+++ b/tansyspur/planner/questions.py
@@ -1,4 +1,7 @@
-"""What staff ask of a forecast: what breaks first, how large a fleet must be, and what a loss would do; no I/O."""
+"""Capacity questions answered by forecasts: the first bottleneck, the size of a fleet, and the effect of losses.
+
+Services and goals are shares of the offered worth, between 0 and 1.
+"""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, replace
@@ -8,144 +11,163 @@
 from tansyspur.planner.forecast import Forecast, forecast
 
 MAX_SCALE = 8.0
-PRECISION = 0.01  # of a scale
-MOST_SWITCHES = 64
+RELATIVE_PRECISION = 0.01  # of the scale that `breaks` finds
+MAX_SWITCHES = 64
 
 
 @dataclass(slots=True, frozen=True)
 class Bottleneck:
-    kind: str  # group, processor, depot
+    """A resource that refuses or delays calls."""
+
+    kind: str  # "group", "processor" or "depot"
     name: str
-    refused_share: float  # how far it is over what it can bear: share of calls that it refuses or holds back
+    refused_share: float  # share of its calls that it refuses or holds back
 
 
 @dataclass(slots=True, frozen=True)
 class Break:
-    scale: float  # of the load, at which the goal is first missed
-    service: float
+    """The load at which a goal is first missed."""
+
+    scale: float  # multiple of the given load
+    service: float  # at that load
     first: tuple[Bottleneck, ...]  # the worst first
 
 
-def bottlenecks(found: Forecast) -> list[Bottleneck]:
-    """What refuses or holds back most, the worst first."""
+def bottlenecks(result: Forecast) -> list[Bottleneck]:
+    """Resources that refuse or hold back calls in a forecast, the worst first."""
     rows = [
-        Bottleneck("group", " - ".join(map(str, row["ends"])), float(row["blocking"])) for row in found.groups
+        Bottleneck("group", " - ".join(map(str, row["ends"])), float(row["blocking"]))
+        for row in result.groups
     ]
-    rows += [Bottleneck("processor", str(row["name"]), 1 - float(row["takes"])) for row in found.switches]
-    rows += [Bottleneck("depot", name, 1 - service) for name, service in found.service_by_depot.items()]
+    rows += [Bottleneck("processor", str(row["name"]), 1 - float(row["takes"])) for row in result.switches]
+    rows += [Bottleneck("depot", name, 1 - service) for name, service in result.service_by_depot.items()]
     return sorted((row for row in rows if row.refused_share > 1e-4), key=lambda row: -row.refused_share)
 
 
 def breaks(fleet: Fleet, load: Load, goal: float, count: int = 4) -> Break | None:
-    """The least load at which the service is under the goal, and what gives way there; None if none up to MAX_SCALE
-    is. By doubling, then halving: service falls with the load."""
+    """The smallest scale of the load at which the service is below the goal, with the `count` worst bottlenecks there.
+
+    None if the goal is met up to MAX_SCALE. Brackets the scale by doubling, then bisects: service falls with the load.
+    """
     low, high = 0.0, 0.5
-    while (found := forecast(fleet, load.scaled(high))).service >= goal:
+    while (missed := forecast(fleet, load.scaled(high))).service >= goal:
         low, high = high, high * 2
         if high > MAX_SCALE:
             return None
-    while high - low > PRECISION * high:
+    while high - low > RELATIVE_PRECISION * high:
         middle = (low + high) / 2
-        tried = forecast(fleet, load.scaled(middle))
-        if tried.service >= goal:
+        candidate = forecast(fleet, load.scaled(middle))
+        if candidate.service >= goal:
             low = middle
         else:
-            high, found = middle, tried
-    return Break(high, found.service, tuple(bottlenecks(found)[:count]))
+            high, missed = middle, candidate
+    return Break(high, missed.service, tuple(bottlenecks(missed)[:count]))
 
 
 @dataclass(slots=True, frozen=True)
 class Size:
-    """A fleet that meets the goal, or the best that could be found and what stands in its way."""
+    """A fleet that meets the goal, or else the best one that was found, with the obstacle."""
 
     met: bool
     switches: int
     circuits: dict[tuple[str, str], int]
     service: float
-    worst_loss: str  # what its loss does most harm; empty where losses were not asked for
-    min_switches: int  # no fewer can meet the goal: a bound, not a search
-    reason: str  # what the bound rests on, or the bottleneck of an infeasible goal
+    worst_loss: str  # the switch or depot whose loss is worst; empty if losses were not considered
+    min_switches: int  # lower bound from the work of the calls; a fleet of this size need not meet the goal
+    reason: str  # basis of the lower bound if the goal is met, else the obstacle
 
 
 def min_switches(fleet: Fleet, load: Load, goal: float) -> tuple[int, str]:
-    """No fleet of fewer switches like these can do it: each call that counts takes work at two processors.
+    """A lower bound of the number of switches like these that meet the goal, and its explanation.
 
-    The work of calls that stand in time at the goal's share, in the heaviest window, over the best processor's
-    rate. It leaves out refusals, tandems and waiting, which all cost more.
+    Each call that is answered takes work at two processors. The bound is the work of the goal's share of the calls in
+    the heaviest window, divided by the capacity of the fastest processor. It leaves out refusals, tandems and waiting,
+    all of which cost more.
     """
     work = fleet.work
     per_call = 2 * (1 + work.answer + work.release) + work.look
-    rate = max(sum(one.calls_per_s[w] for one in load.streams) for w in range(len(load.windows_s)))
-    best = max(one.setups_per_s * (1 - one.other_mean) for one in fleet.switches)
+    rate = max(sum(stream.calls_per_s[w] for stream in load.streams) for w in range(len(load.windows_s)))
+    best = max(switch.setups_per_s * (1 - switch.mean_other_share) for switch in fleet.switches)
     needed = max(0.0, goal) * rate * per_call / best
     count = max(2, int(-(-needed // 1)))
     return (
         count,
-        f"{rate:.1f} calls/s take {rate * per_call:.0f} set-ups/s of work, and one processor does {best:.0f}",
+        f"{rate:.1f} calls/s need the work of {rate * per_call:.0f} set-ups/s, and one processor can do {best:.0f}",
     )
 
 
 def spread_over(fleet: Fleet, load: Load, count: int) -> tuple[Fleet, Load]:
-    """The same load over another number of switches: depots in turn, each switch like the depot's first, streams
-    spread evenly over the switches of their depots."""
+    """A fleet of `count` switches without circuits, and the same load distributed over it.
+
+    Switches are assigned to the depots in turn, each one a copy of the first switch of its depot. Streams are spread
+    evenly over the switches of their depots.
+    """
     depots = fleet.depots
-    like = {one.depot: one for one in reversed(fleet.switches)}
+    first_of_depot = {switch.depot: switch for switch in reversed(fleet.switches)}
     switches = []
     for i in range(count):
         depot = depots[i % len(depots)]
-        switches.append(replace(like[depot], name=f"{depot}-{i // len(depots) + 1}"))
-    of_depot = {name: one.depot for name, one in zip(fleet.names, fleet.switches, strict=True)}
-    there: dict[str, list[StoreSwitch]] = {}
-    for one in switches:
-        there.setdefault(one.depot, []).append(one)
+        switches.append(replace(first_of_depot[depot], name=f"{depot}-{i // len(depots) + 1}"))
+    depot_of = {name: switch.depot for name, switch in zip(fleet.names, fleet.switches, strict=True)}
+    switches_of: dict[str, list[StoreSwitch]] = {}
+    for switch in switches:
+        switches_of.setdefault(switch.depot, []).append(switch)
     streams = []
-    for one in load.streams:
-        origins = there.get(of_depot[one.origin], switches)
-        near = there.get(of_depot[one.destination], switches)
-        # Where a depot's only switch would call itself, its calls go to the others.
+    for stream in load.streams:
+        origins = switches_of.get(depot_of[stream.origin], switches)
+        destinations = switches_of.get(depot_of[stream.destination], switches)
+        # If a depot has a single switch, calls within the depot go to all other switches.
         pairs = next(
-            found
-            for there_too in (near, switches)
-            if (found := [(a.name, b.name) for a in origins for b in there_too if a is not b])
+            candidates
+            for targets in (destinations, switches)
+            if (candidates := [(a.name, b.name) for a in origins for b in targets if a is not b])
+        )
+        share = tuple(rate / len(pairs) for rate in stream.calls_per_s)
+        streams += [replace(stream, origin=a, destination=b, calls_per_s=share) for a, b in pairs]
+    rates_by_key: dict[tuple[str, str, str], list[float]] = {}
+    for stream in streams:
+        rates = rates_by_key.setdefault(
+            (stream.origin, stream.destination, stream.class_name), [0.0] * len(load.windows_s)
         )
-        share = tuple(rate / len(pairs) for rate in one.calls_per_s)
-        streams += [replace(one, origin=a, destination=b, calls_per_s=share) for a, b in pairs]
-    merged: dict[tuple[str, str, str], list[float]] = {}
-    for one in streams:
-        known = merged.setdefault((one.origin, one.destination, one.class_name), [0.0] * len(load.windows_s))
-        for w, rate in enumerate(one.calls_per_s):
-            known[w] += rate
-    made = tuple(
+        for w, rate in enumerate(stream.calls_per_s):
+            rates[w] += rate
+    merged = tuple(
         replace(streams[0], origin=a, destination=b, class_name=c, calls_per_s=tuple(rates))
-        for (a, b, c), rates in merged.items()
+        for (a, b, c), rates in rates_by_key.items()
     )
     groups = tuple(Group((a.name, b.name), 0) for i, a in enumerate(switches) for b in switches[i + 1 :])
-    return replace(fleet, switches=tuple(switches), groups=groups), replace(load, streams=made)
+    return replace(fleet, switches=tuple(switches), groups=groups), replace(load, streams=merged)
 
 
-def with_room(fleet: Fleet, load: Load, blocking: float) -> Fleet:
-    """Each group as large as Erlang B wants it for its own direct load, in its heaviest window."""
-    holds = {kind.name: (kind.holding_time_s, kind.width) for kind in load.classes}
+def dimensioned(fleet: Fleet, load: Load, blocking: float) -> Fleet:
+    """A copy whose groups are sized by Erlang B for a blocking of their own direct load in their heaviest window."""
+    class_values = {
+        call_class.name: (call_class.holding_time_s, call_class.width) for call_class in load.classes
+    }
     offered: dict[frozenset[str], list[float]] = {}
-    for one in load.streams:
-        hold_s, width = holds[one.class_name]
-        known = offered.setdefault(frozenset((one.origin, one.destination)), [0.0] * len(load.windows_s))
-        for w, rate in enumerate(one.calls_per_s):
-            known[w] += rate * hold_s * width
+    for stream in load.streams:
+        holding_time_s, width = class_values[stream.class_name]
+        by_window = offered.setdefault(
+            frozenset((stream.origin, stream.destination)), [0.0] * len(load.windows_s)
+        )
+        for w, rate in enumerate(stream.calls_per_s):
+            by_window[w] += rate * holding_time_s * width
     groups = []
-    widest = max(kind.width for kind in load.classes)
-    for one in fleet.groups:
-        erl = max(offered.get(frozenset(one.ends), [0.0]))
-        groups.append(replace(one, circuits=max(widest, circuits_for(erl, blocking)) if erl else 0))
+    max_width = max(call_class.width for call_class in load.classes)
+    for group in fleet.groups:
+        peak_erl = max(offered.get(frozenset(group.ends), [0.0]))
+        groups.append(
+            replace(group, circuits=max(max_width, circuits_for(peak_erl, blocking)) if peak_erl else 0)
+        )
     return replace(fleet, groups=tuple(groups))
 
 
-def losses(fleet: Fleet, what: str) -> Iterator[tuple[str, Fleet]]:
-    """The fleet without any one switch, or depot."""
-    if what == "switch":
+def losses(fleet: Fleet, unit: str) -> Iterator[tuple[str, Fleet]]:
+    """For each single loss of a unit, "switch" or "depot": the name of the lost one, and the remaining fleet."""
+    if unit == "switch":
         for name in fleet.names:
             yield name, fleet.without(switches=[name])
-    elif what == "depot" and len(fleet.depots) > 1:
+    elif unit == "depot" and len(fleet.depots) > 1:
         for name in fleet.depots:
             yield name, fleet.without(depots=[name])
 
@@ -155,45 +177,58 @@
     load: Load,
     goal: float,
     lose: str = "",
-    most: int = MOST_SWITCHES,
-    tell: Callable[[str], None] = lambda text: None,
+    max_switches: int = MAX_SWITCHES,
+    report: Callable[[str], None] = lambda text: None,
 ) -> Size:
-    """The fewest switches like the fleet's, and circuits for each group, that meet the goal; with `lose`, "switch" or
-    "depot", also for the calls that remain when any one of these is lost.
+    """The smallest number of switches like the fleet's, and circuits for each group, that meet the goal.
 
-    Fewer switches than `min_switches` cannot meet it, and from there on each number is tried in turn. Circuits: of
-    the common Erlang B blockings that are tried, the highest that meets the goal.
+    lose: "switch" or "depot" if the goal must also be met, for the remaining calls, after the loss of any one of them;
+    empty otherwise. max_switches: no more are tried. report: receives a line of text for each candidate.
+
+    Every number of switches from the bound `min_switches` on is tried in turn. The groups are sized for a common Erlang
+    B blocking, the highest of those tried that meets the goal.
     """
-    least, why = min_switches(fleet, load, goal)
-    if least > most:
-        return Size(False, most, {}, 0.0, "", least, f"at least {least} switches are needed, as {why}")
-    best = Size(False, least, {}, -1.0, "", least, why)
-    for count in range(least, most + 1):
-        made, spread = spread_over(fleet, load, count)
+    lower_bound, basis = min_switches(fleet, load, goal)
+    if lower_bound > max_switches:
+        return Size(
+            False,
+            max_switches,
+            {},
+            0.0,
+            "",
+            lower_bound,
+            f"at least {lower_bound} switches are needed, as {basis}",
+        )
+    best = Size(False, lower_bound, {}, -1.0, "", lower_bound, basis)
+    for count in range(lower_bound, max_switches + 1):
+        candidate, candidate_load = spread_over(fleet, load, count)
         for blocking in (0.2, 0.1, 0.05, 0.02, 0.01, 0.003, 0.001):
-            sized = with_room(made, spread, blocking)
-            found = forecast(sized, spread)
-            service, worst = found.service, ""
+            sized = dimensioned(candidate, candidate_load, blocking)
+            result = forecast(sized, candidate_load)
+            service, worst_loss = result.service, ""
             if service >= goal:
-                for name, rest in losses(sized, lose):
-                    after = forecast(rest, spread.restricted_to(rest.names)).service
+                for name, remaining in losses(sized, lose):
+                    after = forecast(remaining, candidate_load.restricted_to(remaining.names)).service
                     if after < service:
-                        service, worst = after, name
-            tell(f"{count} switches, blocking {blocking:g}: service {service:.3f}")
-            circuits = {one.ends: one.circuits for one in sized.groups}
-            tried = Size(service >= goal, count, circuits, service, worst, least, why)
-            if tried.met:
-                return tried
-            if tried.service > best.service:
-                first = bottlenecks(found)[:1]
-                reason = (
-                    f"{first[0].kind} {first[0].name} holds back {first[0].refused_share:.0%}"
+                        service, worst_loss = after, name
+            report(f"{count} switches, blocking {blocking:g}: service {service:.3f}")
+            circuits = {group.ends: group.circuits for group in sized.groups}
+            attempt = Size(service >= goal, count, circuits, service, worst_loss, lower_bound, basis)
+            if attempt.met:
+                return attempt
+            if attempt.service > best.service:
+                first = bottlenecks(result)[:1]
+                obstacle = (
+                    f"{first[0].kind} {first[0].name} refuses or holds back {first[0].refused_share:.0%} of its calls"
                     if first
-                    else "time-outs"
+                    else "calls time out"
+                )
+                best = replace(
+                    attempt,
+                    reason=f"no fleet of up to {count} switches meets the goal; in the best one, {obstacle}",
                 )
-                best = replace(tried, reason=f"no fleet of up to {count} meets it; at best, {reason}")
-            if found.service < goal and blocking <= 0.02 and best.service - found.service > 0.02:
+            if result.service < goal and blocking <= 0.02 and best.service - result.service > 0.02:
                 break
         if count - best.switches >= 4:
-            break  # more switches have not helped for a while
+            break  # the last four additional switches have not improved the service
     return best
--- a/tests/test_erlang.py
+++ b/tests/test_erlang.py
@@ -1,4 +1,4 @@
-"""Loss formulas against published tables, exact chains and each other."""
+"""Loss formulas against published tables, exact summation and each other, and the command `tansyspur plan erlang`."""
 
 import json
 import math
@@ -12,7 +12,7 @@
 from tansyspur.planner import erlang
 from tests.world import ROOT
 
-# Erlang B tables as printed in teletraffic handbooks: the load in erlang that N circuits carry at a blocking.
+# Erlang B tables as printed in teletraffic handbooks: blocking, then circuits and the load in erlang offered to them
 PUBLISHED = {
     0.001: {2: 0.046, 3: 0.194, 5: 0.762, 10: 3.09, 20: 9.41, 50: 32.5, 100: 75.2},
     0.01: {
@@ -27,55 +27,57 @@
 POINTS = [(load, n, b) for b, row in PUBLISHED.items() for n, load in row.items()]
 
 
-def last_digit(figure):
+def rounding_error(value):
     """Half a unit in the last printed place, for tables of three significant digits."""
-    return 0.5 * 10 ** (math.floor(math.log10(figure)) - 2)
+    return 0.5 * 10 ** (math.floor(math.log10(value)) - 2)
 
 
-@pytest.mark.parametrize("load, circuits, lost", POINTS)
-def test_blocking_is_that_of_the_published_tables(load, circuits, lost):
-    step = max(last_digit(load), 0.0005) if load < 0.2 and lost == 0.001 else last_digit(load)
+@pytest.mark.parametrize("load, circuits, blocking", POINTS)
+def test_blocking_agrees_with_the_published_tables(load, circuits, blocking):
+    error = max(rounding_error(load), 0.0005) if load < 0.2 and blocking == 0.001 else rounding_error(load)
     assert (
-        erlang.blocking(load - step * 1.01, circuits) <= lost <= erlang.blocking(load + step * 1.01, circuits)
+        erlang.blocking(load - error * 1.01, circuits)
+        <= blocking
+        <= erlang.blocking(load + error * 1.01, circuits)
     )
 
 
-def test_there_are_enough_published_points():
+def test_there_are_at_least_forty_published_points():
     assert len(POINTS) >= 40
 
 
 @pytest.mark.parametrize(
     "load, circuits", [(0.01, 1), (3.5, 7), (20, 30), (120, 100), (1000, 1020), (1e5, 1e5)]
 )
-def test_blocking_is_the_formula_itself(load, circuits):
-    """A^n/n! over the sum, in logarithms: another way to the same figure."""
+def test_blocking_agrees_with_direct_summation(load, circuits):
+    """The recursion against A^n/n! divided by its sum, evaluated in logarithms."""
     n = int(circuits)
-    terms = [k * math.log(load) - math.lgamma(k + 1) for k in range(n + 1)]
-    top = max(terms)
-    direct = math.exp(terms[-1] - top) / math.fsum(math.exp(term - top) for term in terms)
-    assert erlang.blocking(load, n) == pytest.approx(direct, rel=1e-6)
+    log_terms = [k * math.log(load) - math.lgamma(k + 1) for k in range(n + 1)]
+    largest = max(log_terms)
+    expected = math.exp(log_terms[-1] - largest) / math.fsum(math.exp(term - largest) for term in log_terms)
+    assert erlang.blocking(load, n) == pytest.approx(expected, rel=1e-6)
 
 
 @given(st.floats(0.01, 300), st.floats(1e-6, 0.9))
-def test_the_least_number_of_circuits_is_the_least(load, lost):
-    n = erlang.circuits_for(load, lost)
-    assert erlang.blocking(load, n) <= lost * (1 + 1e-9)
-    assert n == 0 or erlang.blocking(load, n - 1) > lost
+def test_circuits_for_returns_the_smallest_sufficient_number(load, max_blocking):
+    n = erlang.circuits_for(load, max_blocking)
+    assert erlang.blocking(load, n) <= max_blocking * (1 + 1e-9)
+    assert n == 0 or erlang.blocking(load, n - 1) > max_blocking
 
 
 @pytest.mark.parametrize("n", [1, 2, 7, 100])
-def test_a_blocking_met_exactly_is_met(n):
+def test_circuits_for_accepts_a_blocking_that_is_met_exactly(n):
     assert erlang.circuits_for(float(n), erlang.blocking(float(n), n)) == n
 
 
 @given(st.floats(0.1, 60), st.integers(1, 60))
-def test_one_class_of_width_one_is_erlang_b(load, n):
+def test_general_formulas_reduce_to_erlang_b(load, n):
     assert erlang.kaufman_roberts([load], [1], n)[0] == pytest.approx(erlang.blocking(load, n), abs=1e-12)
     assert erlang.with_reservation(load, 0, n, 2)[0] == pytest.approx(erlang.blocking(load, n), abs=1e-12)
     assert erlang.with_reservation(load / 2, load / 2, n, 0) == pytest.approx([erlang.blocking(load, n)] * 2)
 
 
-def test_two_widths_by_counting_all_states():
+def test_kaufman_roberts_agrees_with_enumeration_of_all_states():
     """The product form summed over every state of two classes on ten circuits."""
     loads, widths, n = [2.0, 0.7], [1, 3], 10
     states = {
@@ -86,43 +88,44 @@
     }
     total = sum(states.values())
     for k, width in enumerate(widths):
-        lost = sum(p for (i, j), p in states.items() if i + 3 * j + width > n) / total
-        assert erlang.kaufman_roberts(loads, widths, n)[k] == pytest.approx(lost, rel=1e-12)
+        blocking = sum(p for (i, j), p in states.items() if i + 3 * j + width > n) / total
+        assert erlang.kaufman_roberts(loads, widths, n)[k] == pytest.approx(blocking, rel=1e-12)
 
 
-def test_a_class_wider_than_the_group_is_always_lost():
+def test_a_class_wider_than_the_group_is_always_blocked():
     assert erlang.kaufman_roberts([1.0, 1.0], [1, 8], 7)[1] == 1.0
     assert erlang.blocking(3.0, 0) == 1.0 and erlang.with_reservation(1.0, 1.0, 0, 1) == (1.0, 1.0)
 
 
-def test_waiting_is_that_of_a_published_example():
+def test_waiting_agrees_with_a_published_example():
     assert erlang.waiting(2.0, 3) == pytest.approx(4 / 9)  # M/M/3 at two erlang
     assert erlang.waiting(5.0, 3) == 1.0
 
 
-@pytest.mark.parametrize("bad", [-1.0, math.nan, math.inf])
-def test_a_load_that_is_none_is_refused(bad):
+@pytest.mark.parametrize("load", [-1.0, math.nan, math.inf])
+def test_a_negative_or_non_finite_load_is_refused(load):
     with pytest.raises(ValueError, match="offered"):
-        erlang.blocking(bad, 3)
+        erlang.blocking(load, 3)
 
 
 def tool(*arguments):
+    """Runs `tansyspur` with these arguments to its end."""
     return subprocess.run(
         [sys.executable, "-m", "tansyspur", *arguments], cwd=ROOT, capture_output=True, text=True
     )
 
 
-def test_the_command_answers_programs():
-    found = tool("plan", "erlang", "--offered", "20", "--circuits", "30", "--format", "json")
-    assert found.returncode == 0 and json.loads(found.stdout) == {
+def test_the_command_prints_json():
+    result = tool("plan", "erlang", "--offered", "20", "--circuits", "30", "--format", "json")
+    assert result.returncode == 0 and json.loads(result.stdout) == {
         "blocking": pytest.approx(0.00845750, rel=1e-6)
     }
-    found = tool("plan", "erlang", "--offered", "20", "--blocking", "0.01", "--format", "json")
-    assert json.loads(found.stdout) == {"circuits": 30}
+    result = tool("plan", "erlang", "--offered", "20", "--blocking", "0.01", "--format", "json")
+    assert json.loads(result.stdout) == {"circuits": 30}
 
 
 @pytest.mark.parametrize(
-    "arguments, said",
+    "arguments, message",
     [
         (["plan", "erlang", "--offered", "-1", "--circuits", "3"], "offered"),
         (["plan", "erlang", "--offered", "1"], "--circuits"),
@@ -131,16 +134,16 @@
         (["no-such"], "no-such"),
     ],
 )
-def test_unusable_input_ends_with_two_and_says_what(arguments, said):
-    found = tool(*arguments)
-    assert found.returncode == 2 and said in found.stderr and "Traceback" not in found.stderr
+def test_invalid_arguments_exit_with_status_two_and_a_message(arguments, message):
+    result = tool(*arguments)
+    assert result.returncode == 2 and message in result.stderr and "Traceback" not in result.stderr
 
 
-def test_the_gatekeeper_loads_no_library_of_the_tools():
+def test_the_gatekeeper_does_not_import_the_libraries_of_the_tools():
     code = (
         "import sys, tansyspur.__main__;"
         "print([n for n in sys.modules if n.split('.')[0] in ('click', 'lark', 'numpy', 'structlog')"
         " or n.startswith(('tansyspur.cli', 'tansyspur.planner'))])"
     )
-    found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert found.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+    assert result.stdout.strip() == "[]"
