--- a/tansyspur/report/__init__.py
+++ b/tansyspur/report/__init__.py
@@ -1,1 +1,1 @@
-"""Charts of a forecast, and one self-contained HTML page with them."""
+"""HTML report with the charts of a forecast."""
--- a/tansyspur/report/page.py
+++ b/tansyspur/report/page.py
@@ -1,4 +1,7 @@
-"""The planner's report: service against load, groups as a heat map, what losses would do; no file but the page."""
+"""HTML report of a forecast: service against load, blocking of the trunk groups, and the effect of losses.
+
+The page embeds its charts, so that it needs no other file. Charts show shares in percent.
+"""
 
 import base64
 import html
@@ -20,39 +23,53 @@
 from tansyspur.planner.fleet import Fleet, Load
 from tansyspur.planner.forecast import Forecast, forecast
 
-SCALES = (0.5, 0.7, 0.85, 1.0, 1.15, 1.3, 1.5)
-MOST_LOSSES = 24
+RELATIVE_SCALES = (0.5, 0.7, 0.85, 1.0, 1.15, 1.3, 1.5)  # of the chart of service against load
+MAX_LOSSES = 24  # shown in the chart of losses
 STYLE = """body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:right}
 td:first-child,th:first-child{text-align:left}img{max-width:100%}"""
 
 
-def _forecasts(asked: Sequence[tuple[Fleet, Load]]) -> list[Forecast]:
-    """One after the other they would take a minute; each is a process's work."""
-    workers = max(1, min(len(asked), os.cpu_count() or 1))
+def _forecasts(cases: Sequence[tuple[Fleet, Load]]) -> list[Forecast]:
+    """Computes forecasts in parallel processes; one after the other, those of a report would take a minute."""
+    workers = max(1, min(len(cases), os.cpu_count() or 1))
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
-        return list(pool.map(forecast, [fleet for fleet, _ in asked], [load for _, load in asked]))
+        return list(pool.map(forecast, [fleet for fleet, _ in cases], [load for _, load in cases]))
 
 
 def service_chart(fleet: Fleet, load: Load, scale: float) -> Figure:
+    """Service against load around a scale, over all calls and by class; load is unscaled."""
     figure, axes = plt.subplots(figsize=(7, 4), constrained_layout=True)
-    found = _forecasts([(fleet, load.scaled(scale * one)) for one in SCALES])
-    x = [scale * one for one in SCALES]
-    axes.fill_between(x, [100 * f.band[0] for f in found], [100 * f.band[1] for f in found], alpha=0.2)
-    axes.plot(x, [100 * f.service for f in found], "o-", label="all, with the band of one run")
-    for kind in load.classes:
-        axes.plot(x, [100 * f.service_by_class[kind.name] for f in found], "--", label=kind.name)
+    results = _forecasts([(fleet, load.scaled(scale * relative)) for relative in RELATIVE_SCALES])
+    x = [scale * relative for relative in RELATIVE_SCALES]
+    axes.fill_between(
+        x,
+        [100 * result.band[0] for result in results],
+        [100 * result.band[1] for result in results],
+        alpha=0.2,
+    )
+    axes.plot(
+        x, [100 * result.service for result in results], "o-", label="all, with the 95 % interval of one run"
+    )
+    for call_class in load.classes:
+        axes.plot(
+            x,
+            [100 * result.service_by_class[call_class.name] for result in results],
+            "--",
+            label=call_class.name,
+        )
     axes.axvline(scale, color="grey", lw=1)
-    axes.set(xlabel="load, as a multiple of the file's", ylabel="service, of 100")
+    axes.set(xlabel="load, as a multiple of the load file", ylabel="service, %")
     axes.legend(fontsize=8)
     return figure
 
 
-def heat_map(fleet: Fleet, found: Forecast) -> Figure:
+def heat_map(fleet: Fleet, result: Forecast) -> Figure:
+    """Blocking of each trunk group as a matrix of switches."""
     names = fleet.names
     index = {name: i for i, name in enumerate(names)}
     grid = np.full((len(names), len(names)), np.nan)
-    for row in found.groups:
+    for row in result.groups:
         a, b = row["ends"]
         grid[index[a], index[b]] = grid[index[b], index[a]] = 100 * row["blocking"]
     figure, axes = plt.subplots(figsize=(6.4, 5.4), constrained_layout=True)
@@ -74,33 +91,37 @@
                     fontsize=8,
                     color="white" if value > dark else "black",
                 )
-    figure.colorbar(image, label="calls that find the group full, of 100")
+    figure.colorbar(image, label="calls that find the group full, %")
     return figure
 
 
-def losses_chart(fleet: Fleet, load: Load, found: Forecast) -> Figure:
-    lost = [
-        (f"{what} {name}", rest)
-        for what in ("depot", "switch")
-        for name, rest in questions.losses(fleet, what)
+def losses_chart(fleet: Fleet, load: Load, result: Forecast) -> Figure:
+    """Service after the loss of each depot and each switch; result is the forecast of the complete fleet."""
+    losses = [
+        (f"{unit} {name}", remaining)
+        for unit in ("depot", "switch")
+        for name, remaining in questions.losses(fleet, unit)
     ]
-    lost = [(name, rest) for name, rest in lost if len(rest.switches) > 1][:MOST_LOSSES]
-    asked = [(rest, load) for _, rest in lost] + [(rest, load.restricted_to(rest.names)) for _, rest in lost]
-    services = [one.service for one in _forecasts(asked)] if asked else []
-    rows = [("nothing lost", found.service, found.service)]
-    rows += [(name, services[i], services[i + len(lost)]) for i, (name, _) in enumerate(lost)]
+    losses = [(name, remaining) for name, remaining in losses if len(remaining.switches) > 1][:MAX_LOSSES]
+    cases = [(remaining, load) for _, remaining in losses] + [
+        (remaining, load.restricted_to(remaining.names)) for _, remaining in losses
+    ]
+    services = [after.service for after in _forecasts(cases)] if cases else []
+    rows = [("no loss", result.service, result.service)]
+    rows += [(name, services[i], services[i + len(losses)]) for i, (name, _) in enumerate(losses)]
     figure, axes = plt.subplots(figsize=(7, 1 + 0.32 * len(rows)), constrained_layout=True)
     y = np.arange(len(rows))
     axes.barh(y - 0.2, [100 * row[1] for row in rows], 0.38, label="of all calls")
-    axes.barh(y + 0.2, [100 * row[2] for row in rows], 0.38, label="of calls that need nothing lost")
+    axes.barh(y + 0.2, [100 * row[2] for row in rows], 0.38, label="of calls between the remaining switches")
     axes.set_yticks(y, [row[0] for row in rows], fontsize=8)
     axes.invert_yaxis()
-    axes.set(xlabel="service, of 100", xlim=(0, 100))
+    axes.set(xlabel="service, %", xlim=(0, 100))
     figure.legend(fontsize=8, loc="outside upper center", ncols=2)
     return figure
 
 
 def _image(figure: Figure, caption: str) -> str:
+    """HTML of a heading and the figure as an embedded PNG; closes the figure."""
     data = io.BytesIO()
     figure.savefig(data, format="png", dpi=110)
     plt.close(figure)
@@ -108,11 +129,15 @@
     return f'<h2>{text}</h2><img alt="{text}" src="data:image/png;base64,{base64.b64encode(data.getvalue()).decode()}">'
 
 
-def write_report(folder: Path, fleet: Fleet, load: Load, scale: float, found: Forecast) -> Path:
-    """The page FOLDER/forecast.html; load is unscaled. Raises OSError where it cannot be written."""
+def write_report(folder: Path, fleet: Fleet, load: Load, scale: float, result: Forecast) -> Path:
+    """Writes FOLDER/forecast.html and returns its path.
+
+    load is unscaled; result is the forecast of the load multiplied by the scale. Raises OSError if the page cannot be
+    written.
+    """
     folder.mkdir(parents=True, exist_ok=True)
-    low, high = found.band
-    groups = sorted(found.groups, key=lambda row: -float(row["blocking"]))
+    low, high = result.band
+    groups = sorted(result.groups, key=lambda row: -float(row["blocking"]))
     rows = "".join(
         f"<tr><td>{html.escape(' - '.join(row['ends']))}</td><td>{row['circuits']}</td>"
         f"<td>{row['offered_erl']:.1f}</td><td>{100 * row['blocking']:.1f}</td><td>{100 * row['fill']:.0f}</td></tr>"
@@ -120,20 +145,20 @@
     )
     classes = "".join(
         f"<tr><td>{html.escape(name)}</td><td>{100 * value:.1f}</td></tr>"
-        for name, value in found.service_by_class.items()
+        for name, value in result.service_by_class.items()
     )
-    notes = "".join(f"<li>{html.escape(note)}</li>" for note in (*load.notes, *found.notes))
-    state = "converged" if found.converged else "did not converge"
+    notes = "".join(f"<li>{html.escape(note)}</li>" for note in (*load.notes, *result.notes))
+    state = "converged" if result.converged else "did not converge"
     body = [
-        f"<h1>Forecast: service {100 * found.service:.1f} of 100</h1>",
+        f"<h1>Forecast: service {100 * result.service:.1f} %</h1>",
         f"<p>{len(fleet.switches)} store switches, {len(fleet.groups)} trunk groups, {scale:g} times the load of the "
-        f"file. One such run shows {100 * low:.1f} to {100 * high:.1f} (95 of 100). The iteration {state}, residual "
-        f"{found.residual:.1e}.</p>",
+        f"file. 95 % of such runs show {100 * low:.1f} to {100 * high:.1f} %. The iteration {state}, residual "
+        f"{result.residual:.1e}.</p>",
         f"<ul>{notes}</ul>" if notes else "",
-        f"<table><tr><th>class</th><th>service</th></tr>{classes}</table>",
+        f"<table><tr><th>class</th><th>service, %</th></tr>{classes}</table>",
         _image(service_chart(fleet, load, scale), "Service against load"),
-        _image(heat_map(fleet, found), "Trunk groups: calls that find them full, of 100"),
-        _image(losses_chart(fleet, load.scaled(scale), found), "What a loss would do"),
+        _image(heat_map(fleet, result), "Trunk groups: calls that find the group full, %"),
+        _image(losses_chart(fleet, load.scaled(scale), result), "Service after a loss"),
         "<h2>Trunk groups</h2><table><tr><th>group</th><th>circuits</th><th>offered, erlang</th><th>full, %</th>"
         f"<th>busy, %</th></tr>{rows}</table>",
     ]
