--- a/tansyspur/net/channel.py
+++ b/tansyspur/net/channel.py
@@ -1,4 +1,4 @@
-"""The command channel: numbered changes of the list, resumed from a cursor after each reconnect."""
+"""The command channel of discovery: numbered changes of the switch list, resumed from a cursor after each reconnect."""
 
 import asyncio
 import json
@@ -13,12 +13,14 @@
 from tansyspur.net.link import Link
 from tansyspur.net.peers import parse_address
 
-SILENT_S = 2.5  # a cursor comes each second; what is told during a longer silence must be known 4 s after it
-LONGEST_EVENT = 256 * 1024  # a whole list is one event, and may be longer than other messages
-DIAL_S = 1.0
-REDIAL_S = 0.25
-STEADY_GAP_S = 3.0  # a longer time without a line shows that discovery may have missed something
-STATES = {
+SILENCE_TIMEOUT_S = (
+    2.5  # a cursor arrives each second; events of a longer silence must be known 4 s after its end
+)
+MAX_EVENT_BYTES = 256 * 1024  # a complete list is one event, and may be longer than other messages
+DIAL_TIMEOUT_S = 1.0
+RECONNECT_DELAY_S = 0.25
+MAX_STEADY_GAP_S = 3.0  # a longer gap between lines shows that discovery may have missed a change
+STATE_BY_STATUS = {
     "up": interface.SwitchState.IN_SERVICE,
     "draining": interface.SwitchState.DRAINING,
     "removed": interface.SwitchState.GONE,
@@ -30,69 +32,74 @@
 
 
 def parse_listing(row: Any) -> SwitchListing:
-    """One entry; a ValueError names what is wrong with it."""
+    """Convert one entry of the switch list. Raises ValueError, which names the entry and the wrong field."""
     if not isinstance(row, dict):
-        raise ValueError("an entry is not an object")
+        raise ValueError("list entry is not a JSON object")
     name, address, group = row.get("name"), row.get("address"), row.get("group")
     if not isinstance(name, str) or not name or not isinstance(group, int):
-        raise ValueError("an entry has an unusable name or group")
-    state = STATES.get(row.get("status", ""))
+        raise ValueError("list entry has an invalid name or group")
+    state = STATE_BY_STATUS.get(row.get("status", ""))
     if state is None:
-        raise ValueError(f"entry {name} has an unknown status")
+        raise ValueError(f"list entry {name} has an unknown status")
     if not isinstance(address, str) or not address.rpartition(":")[2].isdigit():
         address = ""
     if not address and state is not interface.SwitchState.GONE:
-        raise ValueError(f"entry {name} has an unusable address")
-    since = row.get("since_ms") or 0
-    started_ns = int(since * 1_000_000) if isinstance(since, int | float) and since > 0 else None
+        raise ValueError(f"list entry {name} has an invalid address")
+    since_ms = row.get("since_ms") or 0
+    started_ns = int(since_ms * 1_000_000) if isinstance(since_ms, int | float) and since_ms > 0 else None
     zone = row.get("zone")
     return SwitchListing(name, address, group, state, zone if isinstance(zone, str) else "", started_ns)
 
 
 class Channel:
+    """Receives the switch list from the channel at address, and calls on_list for each event.
+
+    The connection is kept up for as long as the task runs; an event that is missing is requested once.
+    """
+
     def __init__(
         self, address: str | None, on_list: OnList, spawn: Spawn, log: Log, metrics: Metrics
     ) -> None:
         self.address, self.metrics = address, metrics
         self.on_list, self.spawn, self.log = on_list, spawn, log
         self.cursor = 0
-        self.gap_at = -1  # the cursor at which an event was missing the last time
+        self.requested_after = -1  # the cursor at which a missing event was last requested
         self.task: asyncio.Task[None] | None = None
-        self.caught_up = asyncio.Event()  # the channel has told a number that we have reached
-        self.lost_at: float | None = None  # since when there is no connection
-        self.dials = 0  # that failed since then
-        self.heard_at = -math.inf  # the last line
-        self.heard_since = -math.inf  # the first of those before it that came without a gap
+        self.caught_up = asyncio.Event()  # the channel has sent a cursor that we have reached
+        self.lost_at: float | None = None  # since when there is no connection, in loop time
+        self.failed_dials = 0  # since lost_at
+        self.last_line_at = -math.inf  # loop time
+        self.steady_from = -math.inf  # first line since which lines came without a gap, loop time
 
     def start(self) -> None:
         if self.address:
             self.task = self.spawn(self.run(self.address), "command channel")
 
     def change_address(self, address: str | None) -> None:
-        """The channel is elsewhere from now on; the new one is asked for what comes after our cursor."""
+        """Connect to another address, and request the events after our cursor there."""
         if address == self.address:
             return
         self.address = address
         if self.task:
-            self.task.cancel()  # also a dial or a pause; nothing is awaited between an event and its cursor
+            self.task.cancel()  # no await lies between applying an event and setting its cursor
         self.start()
 
     def load_known_events(self, known_events: dict[str, Any]) -> None:
-        """What the configuration already holds."""
+        """Apply the events that the configuration holds under "known"."""
         for event in known_events.get("cmds") or []:
-            self._event(event)
+            self._on_event(event)
         cursor = known_events.get("cursor")
         self.cursor = max(self.cursor, cursor if isinstance(cursor, int) else 0)
 
-    def _event(self, event: Any) -> None:
+    def _on_event(self, event: Any) -> None:
         cursor = event.get("cursor") if isinstance(event, dict) else None
         if not isinstance(cursor, int) or cursor <= self.cursor:
-            return  # told again after a reconnect
+            return  # repeated after a reconnect
         if "nodes" not in event:
-            # Guards against counting an event as known by its number alone, which may come ahead of it.
-            return self._no_gap(cursor)
+            # A cursor alone may arrive before its event, so it must not mark the event as applied.
+            return self._check_gap(cursor)
         if self.task:
-            self._no_gap(cursor - 1)
+            self._check_gap(cursor - 1)
         self.cursor = cursor
         nodes = event.get("nodes")
         if not isinstance(nodes, dict):
@@ -110,91 +117,100 @@
 
     @property
     def steady_since(self) -> float | None:
-        """Since when lines have come without a gap, in the loop's time; None if none comes now."""
+        """Loop time since which lines have come without a gap; None if none comes now."""
         now = asyncio.get_running_loop().time()
-        return self.heard_since if now - self.heard_at <= STEADY_GAP_S else None
+        return self.steady_from if now - self.last_line_at <= MAX_STEADY_GAP_S else None
 
-    def _note_heard(self) -> None:
+    def _note_received(self) -> None:
         now = asyncio.get_running_loop().time()
-        if now - self.heard_at > STEADY_GAP_S:
-            self.heard_since = now
-        self.heard_at = now
+        if now - self.last_line_at > MAX_STEADY_GAP_S:
+            self.steady_from = now
+        self.last_line_at = now
 
-    def _line(self, text: memoryview) -> None:
-        if not text.tobytes().strip():
+    def _on_line(self, line: memoryview) -> None:
+        if not line.tobytes().strip():
             return
-        self._note_heard()
+        self._note_received()
         try:
-            row = json.loads(str(text, "utf-8"))
+            row = json.loads(str(line, "utf-8"))
         except (ValueError, RecursionError):
-            return self.log("warning", "channel", "a line that is not JSON was dropped")
+            return self.log("warning", "channel", "line that is not JSON ignored")
         if isinstance(row, int):
             row = {"cursor": row}
         if isinstance(row, dict):
-            self._event(row)
+            self._on_event(row)
             if "nodes" not in row:
                 self.caught_up.set()
 
-    def _no_gap(self, told: int) -> None:
-        """Guards against an event that was lost on the way: it is asked for again, once. A channel that has
-        none to tell must not be asked for ever."""
-        if told > self.cursor and self.gap_at != self.cursor:
-            self.gap_at = self.cursor
+    def _check_gap(self, cursor: int) -> None:
+        """Raise ConnectionError if events up to cursor are missing, so that a reconnect requests them.
+
+        Each gap is requested once only: a channel that does not have the event must not be asked for it for ever.
+        """
+        if cursor > self.cursor and self.requested_after != self.cursor:
+            self.requested_after = self.cursor
             raise ConnectionError(f"event {self.cursor + 1} is missing")
 
     async def run(self, address: str) -> None:
-        """Connected for as long as it can be, and resumed from the last event known."""
+        """Stay connected, and resume from the last applied event after each reconnect."""
         while True:
             try:
-                async with asyncio.timeout(DIAL_S):
+                async with asyncio.timeout(DIAL_TIMEOUT_S):
                     reader, writer = await asyncio.open_connection(*parse_address(address))
             except (TimeoutError, OSError) as error:
-                self._not_reached(address, error)
-                await asyncio.sleep(REDIAL_S)
+                self._on_dial_failed(address, error)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
-            link = Link(reader, writer, LONGEST_EVENT)
-            self._reached(address, link)
+            link = Link(reader, writer, MAX_EVENT_BYTES)
+            self._on_connected(address, link)
             link.write(b"resume %d\n" % self.cursor)
-            await self._listen(link)
-            await asyncio.sleep(REDIAL_S)
+            await self._read_events(link)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
-    def _reached(self, address: str, link: Link) -> None:
+    def _on_connected(self, address: str, link: Link) -> None:
         away_ms = int((link.loop.time() - self.lost_at) * 1000) if self.lost_at else 0
         self.log(
             "notice", "channel", "connected", address=address, link=link.number, cursor=self.cursor,
-            away_ms=away_ms, failed_dials=self.dials,
+            away_ms=away_ms, failed_dials=self.failed_dials,
         )  # fmt: skip
-        self.lost_at, self.dials = None, 0
+        self.lost_at, self.failed_dials = None, 0
 
-    def _not_reached(self, address: str, error: Exception) -> None:
-        """Only the first failed dial is logged; their number is told with the connection that comes up."""
-        self.dials += 1
+    def _on_dial_failed(self, address: str, error: Exception) -> None:
+        """Log the first failed dial only; their number is logged when a connection comes up."""
+        self.failed_dials += 1
         if self.lost_at is None:
             self.lost_at = asyncio.get_running_loop().time()
-        if self.dials == 1:
+        if self.failed_dials == 1:
             reason = type(error).__name__
-            self.log("warning", "channel", "not reached", address=address, reason=reason, cursor=self.cursor)
-
-    async def _listen(self, link: Link) -> None:
-        def take(chunks: Chunks) -> bool:
-            watch.reschedule(link.loop.time() + SILENT_S)
-            taken = False
-            while (text := chunks.line()) is not None:
-                self._line(text)
-                taken = True
-            return taken
-
-        ended = "silent"
+            self.log(
+                "warning",
+                "channel",
+                "connection failed; retrying",
+                address=address,
+                reason=reason,
+                cursor=self.cursor,
+            )
+
+    async def _read_events(self, link: Link) -> None:
+        def on_data(chunks: Chunks) -> bool:
+            silence_timeout.reschedule(link.loop.time() + SILENCE_TIMEOUT_S)
+            any_taken = False
+            while (line := chunks.take_line()) is not None:
+                self._on_line(line)
+                any_taken = True
+            return any_taken
+
+        how_ended = "silent"
         try:
-            async with asyncio.timeout(SILENT_S) as watch:
-                ended = await link.read_all(take, SILENT_S, link.abort)
+            async with asyncio.timeout(SILENCE_TIMEOUT_S) as silence_timeout:
+                how_ended = await link.read_all(on_data, SILENCE_TIMEOUT_S, link.abort)
         except TimeoutError:
             pass
-        except Exception as error:  # noqa: BLE001 - what cannot be read must cost a reconnect, no more
-            ended = repr(error)
+        except Exception as error:  # noqa: BLE001 - a malformed event must cost no more than a reconnect
+            how_ended = repr(error)
         finally:
             link.abort()
         self.metrics.channel_losses += 1
         if self.lost_at is None:
             self.lost_at = link.loop.time()
-        self.log("notice", "channel", f"connection ended: {ended}", link=link.number, cursor=self.cursor)
+        self.log("notice", "channel", f"connection ended: {how_ended}", link=link.number, cursor=self.cursor)
--- a/tansyspur/net/framing.py
+++ b/tansyspur/net/framing.py
@@ -1,38 +1,45 @@
-"""Messages as slices of the chunk they were read in; only the rest of a split one is copied."""
+"""Splits the bytes of a connection into messages without copying.
 
-LONGEST = 16 * 1024  # of one message
+Messages are slices of the chunk in which they were read; only the unfinished part of a split message is copied.
+"""
+
+MAX_MESSAGE_BYTES = 16 * 1024
 
 
 class FramingError(Exception):
-    """What was read cannot be told apart into messages; the connection is of no use any more."""
+    """The bytes cannot be split into messages; the connection is unusable from here on."""
 
 
 class Chunks:
-    """Bytes read from one connection, with the unfinished rest of earlier ones."""
+    """Bytes read from one connection and not consumed yet; a line may have at most max_bytes."""
 
-    def __init__(self, longest: int = LONGEST) -> None:
-        self.longest = longest
-        self.whole = b""  # what the view is the rest of
-        self.view = memoryview(self.whole)
+    def __init__(self, max_bytes: int = MAX_MESSAGE_BYTES) -> None:
+        self.max_bytes = max_bytes
+        self.data = b""  # the buffer behind the view
+        self.view = memoryview(self.data)
 
     def feed(self, chunk: bytes) -> None:
-        # The rest outlives its chunk, so here, and only here, it is copied.
-        self.whole = bytes(self.view) + chunk if len(self.view) else chunk
-        self.view = memoryview(self.whole)
+        # The unfinished part outlives its chunk, so it is copied here, and only here.
+        self.data = bytes(self.view) + chunk if len(self.view) else chunk
+        self.view = memoryview(self.data)
 
-    def find(self, mark: bytes, start: int = 0) -> int:
-        """Where the mark stands in what has been read, at or after start; -1 if it has not come."""
-        offset = len(self.whole) - len(self.view)
-        at = self.whole.find(mark, offset + start)
-        return at - offset if at >= 0 else -1
+    def find(self, delimiter: bytes, start: int = 0) -> int:
+        """Return the offset of the delimiter in the unconsumed bytes, at or after start; -1 if it has not arrived."""
+        offset = len(self.data) - len(self.view)
+        position = self.data.find(delimiter, offset + start)
+        return position - offset if position >= 0 else -1
 
     def take(self, length: int) -> memoryview:
+        """Consume and return the next length bytes."""
         taken, self.view = self.view[:length], self.view[length:]
         return taken
 
-    def line(self) -> memoryview | None:
-        """The next whole line without its end; None if it has not come."""
+    def take_line(self) -> memoryview | None:
+        """Consume the next complete line and return it without its line end; None if it has not arrived.
+
+        Raises FramingError for a line of more than max_bytes.
+        """
         end = self.find(b"\n")
-        if max(end, 0 if end >= 0 else len(self.view)) > self.longest:
-            raise FramingError("a line is too long")
+        if max(end, 0 if end >= 0 else len(self.view)) > self.max_bytes:
+            raise FramingError("line too long")
         return self.take(end + 1)[:-1] if end >= 0 else None
--- a/tansyspur/net/jsonlines.py
+++ b/tansyspur/net/jsonlines.py
@@ -1,4 +1,8 @@
-"""Callers over JSON lines. Each call is answered on the connection of its set-up, and released on any."""
+"""Callers over JSON lines: one JSON object per line, several calls on one TCP connection.
+
+A call gets its answer or refusal on the connection of its set-up. The release of an answered call may be sent on any
+connection of a caller; where none is open it stays pending until one is.
+"""
 
 import asyncio
 import json
@@ -16,76 +20,78 @@
 from tansyspur.net.link import Link
 
 INVALID_REFERENCE = 81  # Q.850: a release of no call
-FIRST_S = 2.5  # a connection that has said nothing usable for so long is closed
-REST_S = 2.0  # so is one on which a begun message does not end
-PAY_S = 0.05  # by then a connection of the platform's front has brought its test
-YOUNG_S = 0.3  # a connection so new may still bring its first set-up
-MOST_OVER = 4096  # ids of calls that are over, as releases may cross
-ACCEPTED_AT_ONCE, BACKLOG = 16, 512
-LOOKED_AWAY_S = 0.5  # the front asks each 0.1 s, and brings new connections for 0.2 s after a 'no'
-KEEP_LAST_S = 3.7  # ends of calls are owed within a second, but by 4 s no connection may be in use
-LAST_CALL_S = 3.87
-SWEEP_S = 0.02  # between looks for connections that may be closed, while callers are sent away
-OWED_S = 120.0  # so long a release waits for a connection; a caller that comes late still holds its call
-MOST_OWED = 5_000
-CROSSING_S = 1.0  # a release on a connection that ends so soon after may not have arrived
+FIRST_MESSAGE_TIMEOUT_S = 2.5  # a connection without a valid message by then is closed
+PARTIAL_MESSAGE_TIMEOUT_S = 2.0  # so is one whose message is not complete this long after its start
+PENDING_DELIVERY_DELAY_S = 0.05  # a connection of the platform's front has sent its ping by then
+NEW_CONNECTION_GRACE_S = 0.3  # a connection as new as this may still bring its first set-up
+MAX_ENDED_IDS = 4096  # remembered ids of ended calls, as releases of both sides may cross
+MAX_ACCEPTED_AT_ONCE, BACKLOG = 16, 512
+# The front pings every 0.1 s, and brings new connections until 0.2 s after a negative pong.
+FRONT_REROUTE_S = 0.5
+KEEP_ONE_OPEN_S = 3.7  # releases are due within a second, but no connection may be in use after 4 s
+CLOSE_ALL_AFTER_S = 3.87
+IDLE_CHECK_INTERVAL_S = 0.02  # between searches for connections to close, while callers are diverted
+PENDING_LIFETIME_S = 120.0  # for a pending release; a caller that reconnects late still holds its call
+MAX_PENDING = 5_000
+CONFIRMATION_WINDOW_S = 1.0  # a release on a connection that ends this soon after may not have arrived
 TOKEN = re.compile(r"[!-~]{1,128}")
-HEX = re.compile(r"[0-9A-Fa-f]{16}")
-WORDS = re.compile(r"[ -~]{1,128}")
+CALL_ID = re.compile(r"[0-9A-Fa-f]{16}")
+CLASS_NAME = re.compile(r"[ -~]{1,128}")
 
 Log = Callable[..., None]
 
 
-class BadSetUp(Exception):
-    """A set-up that cannot be understood; the text names the field."""
+class InvalidSetUp(Exception):
+    """A set-up with a missing or invalid field; the text is the name of the field."""
 
 
-def _figure(value: Any, name: str) -> float:
+def _parse_number(value: Any, name: str) -> float:
     try:
-        figure = float(value)
+        number = float(value)
     except (TypeError, ValueError):
-        raise BadSetUp(name) from None
-    if not abs(figure) < 1e12 or isinstance(value, bool):
-        raise BadSetUp(name)
-    return figure
+        raise InvalidSetUp(name) from None
+    if not abs(number) < 1e12 or isinstance(value, bool):
+        raise InvalidSetUp(name)
+    return number
 
 
-def _whole(value: Any, name: str) -> int:
-    figure = _figure(value, name)
-    if figure != int(figure):
-        raise BadSetUp(name)
-    return int(figure)
+def _parse_integer(value: Any, name: str) -> int:
+    number = _parse_number(value, name)
+    if number != int(number):
+        raise InvalidSetUp(name)
+    return int(number)
 
 
-def _word(value: Any, name: str, form: re.Pattern[str]) -> str:
-    # Guards against line ends in a field, which would become SIP headers of the caller's making.
+def _parse_text(value: Any, name: str, pattern: re.Pattern[str]) -> str:
+    # The pattern excludes line ends, with which a caller could add SIP headers of its own.
     if isinstance(value, int):
         value = str(value)
-    if not isinstance(value, str) or not form.fullmatch(value):
-        raise BadSetUp(name)
+    if not isinstance(value, str) or not pattern.fullmatch(value):
+        raise InvalidSetUp(name)
     return value
 
 
 def parse_offer(row: dict[str, Any]) -> Offer:
+    """Convert a set-up message to an offer. Raises InvalidSetUp."""
     fields = row.get("fields")
     if not isinstance(fields, dict):
-        raise BadSetUp("fields")
+        raise InvalidSetUp("fields")
     extras = {}
     for pair in str(fields.get("extras", "")).split(";"):
         name, _, value = pair.partition(":")
         extras[name.strip()] = value.strip()
-    via = _whole(extras.get("via", -1), "via")
+    via = _parse_integer(extras.get("via", -1), "via")
     sdp = row.get("sdp")
     if not isinstance(sdp, str):
-        raise BadSetUp("sdp")
+        raise InvalidSetUp("sdp")
     return Offer(
         wire_id=row["id"],
-        class_name=_word(fields.get("class"), "class", WORDS),
-        remaining_ms=_figure(fields.get("left"), "left"),
-        destination=_whole(extras.get("dest"), "dest"),
-        called_number=_word(fields.get("key"), "key", TOKEN),
+        class_name=_parse_text(fields.get("class"), "class", CLASS_NAME),
+        remaining_ms=_parse_number(fields.get("left"), "left"),
+        destination=_parse_integer(extras.get("dest"), "dest"),
+        called_number=_parse_text(fields.get("key"), "key", TOKEN),
         description=sdp,
-        circuits=_figure(extras.get("width", 1), "width"),
+        circuits=_parse_number(extras.get("width", 1), "width"),
         via=via if via >= 0 else None,
         in_transit=extras.get("transit", "0") not in ("0", ""),
         redial=str(fields.get("retry", "0")) not in ("0", ""),
@@ -94,31 +100,31 @@
 
 
 class JsonLeg:
-    """The caller's side of one call."""
+    """The caller's side of one call; implements core.ports.CallerLeg."""
 
     def __init__(self, front: "JsonLinesFront", link: Link, wire_id: str) -> None:
         self.front, self.link, self.wire_id = front, link, wire_id
         self.call: Call | None = None
-        self.stands = False
+        self.standing = False
 
     def answer(self, description: str) -> bool:
         if self.link.closed or self.wire_id not in self.front.legs:
             return False
-        self.stands = True
-        self.link.write(line("answer", self.wire_id, sdp=description))
-        if self.link.closed:  # the write found it stalled: nobody has the answer, and nothing is owed
+        self.standing = True
+        self.link.write(format_line("answer", self.wire_id, sdp=description))
+        if self.link.closed:  # the write aborted a stalled connection: no answer, so no release is needed
             self.front.forget(self)
         return not self.link.closed
 
     def refuse(self, cause: int, retry_after_ms: int) -> None:
         self._final(
-            line(
+            format_line(
                 "release", self.wire_id, {"wait": str(retry_after_ms)} if retry_after_ms else {}, cause=cause
             )
         )
 
     def fail(self, cause: int) -> None:
-        self._final(line("release", self.wire_id, cause=cause))
+        self._final(format_line("release", self.wire_id, cause=cause))
 
     def _final(self, message: bytes) -> None:
         if self.front.forget(self):
@@ -126,57 +132,72 @@
 
     def release(self, cause: int) -> None:
         if self.front.forget(self):
-            self.front.release_anywhere(self.wire_id, self.link, line("release", self.wire_id, cause=cause))
+            self.front.release_anywhere(
+                self.wire_id, self.link, format_line("release", self.wire_id, cause=cause)
+            )
 
 
-def line(kind: str, wire_id: str, fields: dict[str, str] | None = None, **more: Any) -> bytes:
-    row = {"type": kind, "id": wire_id, "fields": fields or {}, **more}
+def format_line(
+    message_type: str, wire_id: str, fields: dict[str, str] | None = None, **members: Any
+) -> bytes:
+    """Return a message as one line of JSON."""
+    row = {"type": message_type, "id": wire_id, "fields": fields or {}, **members}
     return json.dumps(row, separators=(",", ":")).encode() + b"\n"
 
 
 @dataclass(slots=True)
-class Owed:
-    """A release that found no caller's connection, and the connections it was written to all the same."""
+class PendingRelease:
+    """A release for which no connection of a caller was open, and the connections that it was sent on since."""
 
-    at: float
+    created_at: float  # loop time
     message: bytes
-    told: set[int] = field(default_factory=set)  # their numbers
+    sent_to: set[int] = field(default_factory=set)  # numbers of connections
 
 
 class JsonLinesFront:
-    def __init__(self, gatekeeper: Gatekeeper, log: Log, most_links: int, listening: socket.socket) -> None:
-        gatekeeper.pause_listeners.append(self.paused)
-        self.gatekeeper, self.log, self.most_links = gatekeeper, log, most_links
+    """Accepts callers on a listening socket, at most max_links connections, and offers their calls to the gatekeeper.
+
+    Where two processes share the address during a hand-over, messages for calls of the other process are passed to it.
+    """
+
+    def __init__(self, gatekeeper: Gatekeeper, log: Log, max_links: int, listening: socket.socket) -> None:
+        gatekeeper.pause_listeners.append(self.on_pause)
+        self.gatekeeper, self.log, self.max_links = gatekeeper, log, max_links
         self.listening = listening
-        # To the other process, where two share the address: what is said of a call that is not ours.
+        # Sends a message to the other process, where two share the address.
         self.send_to_other_process: Callable[..., None] | None = None
-        self.handed_over = False  # the other process has the callers now
-        self.resumed_at = -math.inf  # since when callers come; while they are sent away, never
-        self.sweeper: asyncio.TimerHandle | None = None
-        self.last_call: asyncio.TimerHandle | None = None
-        self.keeps_standing = False  # while callers are sent away, connections that calls stand on stay
-        self.kept: Link | None = None  # and one more for a while, for calls whose connection has gone
+        self.handed_over = False  # whether the other process accepts the callers now
+        self.resumed_at = -math.inf  # when callers were last let in again; infinity while they are diverted
+        self.idle_check_timer: asyncio.TimerHandle | None = None
+        self.close_all_timer: asyncio.TimerHandle | None = None
+        # Connections that stay open while callers are diverted: those of standing calls if keep_standing_links is set,
+        # and until keep_until one more, for calls whose own connection is lost.
+        self.keep_standing_links = False
+        self.kept_link: Link | None = None
         self.keep_until = -math.inf
         self.legs: dict[str, JsonLeg] = {}
         self.links: set[Link] = set()
-        self.new: dict[Link, asyncio.TimerHandle] = {}  # those that have not shown yet whose they are
-        self.asked: set[Link] = set()  # those that have brought a set-up
-        self.over: dict[str, None] = {}  # ids of calls that are over, oldest first
-        self.owed: dict[str, Owed] = {}  # releases that no caller is known to have been told, oldest first
-        self.unheard: dict[str, tuple[float, Link, bytes]] = {}  # releases written of late, by id
+        self.delivery_timers: dict[Link, asyncio.TimerHandle] = {}  # of connections not identified yet
+        self.caller_links: set[Link] = set()  # connections that have sent a set-up, or the release of a call
+        self.ended_ids: dict[str, None] = {}  # ids of ended calls, oldest first
+        self.pending: dict[str, PendingRelease] = {}  # releases not yet sent to a caller, oldest first
+        self.unconfirmed: dict[str, tuple[float, Link, bytes]] = {}  # releases written recently, by id
         self.server: asyncio.Server | None = None
 
     async def start_accepting(self) -> None:
-        """Take connections from now on. It is a copy of the socket that is served and closed: the queue
-        stays, for another process or for a second start."""
+        """Accept connections from now on.
+
+        The server gets a copy of the socket, and only the copy is closed: the queue of connections stays for another
+        process or for a second start.
+        """
         if self.server:
             return
-        # Guards against running out of descriptors: the loop accepts as many at once as its backlog allows,
-        # before any of them can be turned away, and then takes no connection for a second. The system's own
-        # queue may be longer, and is made so before anything else runs.
+        # The loop accepts as many connections in one turn as the backlog that it is given, before any can be closed.
+        # Too many would exhaust the descriptors, and then it accepts none for a second. The queue of the kernel may be
+        # longer: listen() sets its length before anything else runs.
         asyncio.get_running_loop().call_soon(self.listening.listen, BACKLOG)
         self.server = await asyncio.start_server(
-            self._accepted, sock=self.listening.dup(), backlog=ACCEPTED_AT_ONCE
+            self._accepted, sock=self.listening.dup(), backlog=MAX_ACCEPTED_AT_ONCE
         )
 
     def stop_accepting(self) -> None:
@@ -184,117 +205,133 @@
             self.server.close()
             self.server = None
 
-    def set_connection_limit(self, most_links: int) -> None:
-        """So many connections from now on; those that are missed least are closed."""
-        self.most_links = most_links
-        while len(self.links) > most_links and self._make_room():
+    def set_connection_limit(self, max_links: int) -> None:
+        """Allow at most max_links connections, and close the least useful ones in excess."""
+        self.max_links = max_links
+        while len(self.links) > max_links and self._make_room():
             pass
 
-    # Sending callers away
+    # Diverting callers
 
-    def paused(self, paused: bool) -> None:
-        """An operator sends the callers elsewhere, or has them back. The front of the platform must have
-        looked away first: who is sent off sooner comes back here."""
+    def on_pause(self, paused: bool) -> None:
+        """Divert the callers after an operator's PAUSE, or let them in again after RESUME.
+
+        Connections are closed only once the platform's front routes callers elsewhere: callers closed earlier would
+        come back here.
+        """
         self.stop_closing_connections()
         loop = asyncio.get_running_loop()
         self.resumed_at = math.inf if paused else loop.time()
         if paused:
-            self.keep_until = loop.time() + KEEP_LAST_S
-            self.sweeper = loop.call_later(LOOKED_AWAY_S, self.close_idle_connections, True)
-            self.last_call = loop.call_later(LAST_CALL_S, self.close_connections)
+            self.keep_until = loop.time() + KEEP_ONE_OPEN_S
+            self.idle_check_timer = loop.call_later(FRONT_REROUTE_S, self.close_idle_connections, True)
+            self.close_all_timer = loop.call_later(CLOSE_ALL_AFTER_S, self.close_connections)
 
     def close_connections(self) -> None:
-        """Those that are never without an open set-up: fail what is open rather than keep them."""
-        busy = {leg.link for leg in self.legs.values() if not leg.stands}
-        carrying = self._carrying()
+        """Close all connections that need not be kept; fail the open set-ups on them.
+
+        Connections that are never without an open set-up cannot be closed while idle, so their set-ups are failed.
+        """
+        busy = {leg.link for leg in self.legs.values() if not leg.standing}
+        kept_links = self._links_to_keep()
         for link in list(self.links):
             if link in busy and not link.closed:
-                self._fail_open(link, "callers are sent away")
-            if link not in carrying:
-                link.leave()
+                self._fail_open_set_ups(link, "callers are diverted")
+            if link not in kept_links:
+                link.start_graceful_close()
 
-    def _carrying(self) -> set[Link]:
-        """The connections that stay, while callers are sent away, until the ends of their calls are told."""
-        return {leg.link for leg in self.legs.values() if leg.stands} if self.keeps_standing else set()
+    def _links_to_keep(self) -> set[Link]:
+        """The connections of standing calls, if they stay open until their calls are released."""
+        return {leg.link for leg in self.legs.values() if leg.standing} if self.keep_standing_links else set()
 
-    def close_idle_connections(self, keeps_standing: bool = False) -> None:
-        """Close each connection as soon as its set-ups are answered, until told to stop.
+    def close_idle_connections(self, keep_standing_links: bool = False) -> None:
+        """Close each connection once it has no open set-up; repeats until stop_closing_connections().
 
-        Guards against closing under a set-up: one that crosses the close is brought again by its caller. And
-        against calls whose end nobody can be told in time: connections that calls stand on may be kept.
+        A caller sends a set-up that crosses the close once more, so no connection is closed with a set-up open. With
+        keep_standing_links the connections of standing calls stay open: the ends of these calls could not be reported
+        in time otherwise.
         """
         loop = asyncio.get_running_loop()
-        self.keeps_standing = keeps_standing
-        busy, carrying = {leg.link for leg in self.legs.values() if not leg.stands}, self._carrying()
-        callers = [link for link in self.links if link in self.asked and not link.closed]
-        if self.kept not in callers:
-            self.kept = callers[0] if callers else None
-        homeless = any(leg.stands and leg.link.closed for leg in self.legs.values())
-        if homeless and self.kept and loop.time() < self.keep_until:
-            carrying.add(self.kept)
+        self.keep_standing_links = keep_standing_links
+        busy, kept_links = {leg.link for leg in self.legs.values() if not leg.standing}, self._links_to_keep()
+        callers = [link for link in self.links if link in self.caller_links and not link.closed]
+        if self.kept_link not in callers:
+            self.kept_link = callers[0] if callers else None
+        has_lost_links = any(leg.standing and leg.link.closed for leg in self.legs.values())
+        if has_lost_links and self.kept_link and loop.time() < self.keep_until:
+            kept_links.add(self.kept_link)
         for link in list(self.links):
-            # What is new may still bring its first set-up, or ask whether we are ready.
-            young = loop.time() - link.opened_at < YOUNG_S
-            if link not in busy and not young and link not in carrying:
-                # In the next turn, when what has been read of it has been taken.
-                loop.call_soon(self._leave_idle, link)
-        self.sweeper = loop.call_later(SWEEP_S, self.close_idle_connections, keeps_standing)
+            # A new connection may still bring its first set-up, or a ping of the front.
+            is_new = loop.time() - link.opened_at < NEW_CONNECTION_GRACE_S
+            if link not in busy and not is_new and link not in kept_links:
+                # In the next turn of the loop, when the bytes that have been read are processed.
+                loop.call_soon(self._close_if_idle, link)
+        self.idle_check_timer = loop.call_later(
+            IDLE_CHECK_INTERVAL_S, self.close_idle_connections, keep_standing_links
+        )
 
     def close_idle_connections_until_exit(self) -> None:
-        """Until the end of a process that ends alone: ends of calls must find a connection to its end."""
-        self.stop_closing_connections()  # of a pause, which ends what is open later than the kill
+        """Close idle connections until the process ends, where no other process takes over.
+
+        The connections of standing calls stay open to the end, so that releases can be sent.
+        """
+        self.stop_closing_connections()  # of a pause, which would close the rest only after the process is killed
         self.keep_until = math.inf
-        self.close_idle_connections(keeps_standing=True)
+        self.close_idle_connections(keep_standing_links=True)
 
-    def _leave_idle(self, link: Link) -> None:
-        """Guards against closing on a set-up that has come and is not read yet."""
-        is_open = any(leg.link is link and not leg.stands for leg in self.legs.values())
-        if not is_open and not link.unread and not link.unfinished:
-            link.leave()
+    def _close_if_idle(self, link: Link) -> None:
+        """Close the connection unless a set-up is open or bytes have arrived that may be one."""
+        is_open = any(leg.link is link and not leg.standing for leg in self.legs.values())
+        if not is_open and not link.unread and not link.has_partial_message:
+            link.start_graceful_close()
 
     def stop_closing_connections(self) -> None:
-        for timer in (self.sweeper, self.last_call):
+        """Stop closing connections, whether the close was started by a pause or by the end of the process."""
+        for timer in (self.idle_check_timer, self.close_all_timer):
             if timer:
                 timer.cancel()
-        self.sweeper = self.last_call = None
-        self.keeps_standing = False
+        self.idle_check_timer = self.close_all_timer = None
+        self.keep_standing_links = False
         self.keep_until = -math.inf
 
-    # What another process says of our calls, or we of its
+    # Messages between two processes that share the address
 
     def release_from_other_process(self, row: dict[str, Any]) -> None:
-        """A release that reached the other process."""
+        """A caller's release of a call of this process arrived at the other one."""
         if leg := self.legs.get(row["id"]):
-            self._left(leg, row["cause"])
+            self._on_caller_left(leg, row["cause"])
 
     def release_for_other_process(self, row: dict[str, Any]) -> None:
-        """The end of the other's call, for which it has no connection."""
-        self._over(row["id"])
-        self.release_anywhere(row["id"], None, line("release", row["id"], cause=row["cause"]))
+        """A call of the other process ended, and that process has no caller connection: release it from here."""
+        self._remember_ended(row["id"])
+        self.release_anywhere(row["id"], None, format_line("release", row["id"], cause=row["cause"]))
 
     def forward_pending_releases(self) -> None:
-        """Releases that found no connection here, to the process that has them now."""
-        while self.send_to_other_process and self.handed_over and self.owed:
-            wire_id, owed = self.owed.popitem()
-            self.send_to_other_process("release", id=wire_id, cause=json.loads(owed.message)["cause"])
+        """Pass the pending releases to the other process, if it accepts the callers now."""
+        while self.send_to_other_process and self.handed_over and self.pending:
+            wire_id, release = self.pending.popitem()
+            self.send_to_other_process("release", id=wire_id, cause=json.loads(release.message)["cause"])
 
     def release_anywhere(self, wire_id: str, link: Link | None, message: bytes) -> None:
-        """On this connection if it lives, else on any, else on the next one."""
+        """Send a release on this connection if it is open, else on any other of a caller, else once one opens."""
         now = asyncio.get_running_loop().time()
-        while self.unheard and next(iter(self.unheard.values()))[0] < now - CROSSING_S:
-            del self.unheard[next(iter(self.unheard))]
-        live: Link | None = link
+        while self.unconfirmed and next(iter(self.unconfirmed.values()))[0] < now - CONFIRMATION_WINDOW_S:
+            del self.unconfirmed[next(iter(self.unconfirmed))]
+        target: Link | None = link
         if link is None or link.closed or link.unsent:
-            # Guards against telling those who hold a connection and make no calls: they pass nothing on.
-            usable = (one for one in self.asked if not one.closed and not one.unsent)
-            live = max(usable, key=lambda one: one.heard_at, default=None)
-        if live:
-            live.write(message)
-            self.unheard[wire_id] = (now, live, message)
-            delivery = Delivery.WRITTEN if live is link else Delivery.REDIRECTED
-            self._note_delivery(delivery, wire_id, live)
-        elif len(self.owed) < MOST_OWED:
-            self.owed[wire_id] = Owed(now, message)
+            # Only connections that have brought calls count: a client that only holds a connection, such as the
+            # front, does not pass releases on.
+            usable = (
+                candidate for candidate in self.caller_links if not candidate.closed and not candidate.unsent
+            )
+            target = max(usable, key=lambda candidate: candidate.received_at, default=None)
+        if target:
+            target.write(message)
+            self.unconfirmed[wire_id] = (now, target, message)
+            delivery = Delivery.WRITTEN if target is link else Delivery.REDIRECTED
+            self._note_delivery(delivery, wire_id, target)
+        elif len(self.pending) < MAX_PENDING:
+            self.pending[wire_id] = PendingRelease(now, message)
             self._note_delivery(Delivery.PENDING, wire_id)
             self.forward_pending_releases()
         else:
@@ -303,182 +340,208 @@
     def _note_delivery(
         self, delivery: Delivery, wire_id: str, link: Link | None = None, late_s: float = 0.0
     ) -> None:
-        """Count how the end of a call was told; whatever is not the plain way is logged."""
+        """Count how a release was delivered and log it, at info unless it was written on its own connection."""
         self.gatekeeper.metrics.deliveries[delivery] += 1
         level = "debug" if delivery is Delivery.WRITTEN else "info"
         number = link.number if link else ""
         self.log(level, "release", delivery.value, call=wire_id, link=number, late_ms=int(late_s * 1000))
 
-    def _not_new(self, link: Link) -> None:
-        if timer := self.new.pop(link, None):
+    def _cancel_delivery_timer(self, link: Link) -> None:
+        if timer := self.delivery_timers.pop(link, None):
             timer.cancel()
 
-    def _pay(self, link: Link) -> None:
-        """What is owed to callers, told here once. Over only when this proves to be a caller's connection."""
+    def _deliver_pending(self, link: Link) -> None:
+        """Send the pending releases on this connection, each of them once.
+
+        They stay pending until a connection proves to be a caller's, by a set-up for example.
+        """
         now = link.loop.time()
-        for wire_id, owed in list(self.owed.items()):
-            if now - max(owed.at, self.resumed_at) > OWED_S:
-                del self.owed[wire_id]
-                self._note_delivery(Delivery.EXPIRED, wire_id, late_s=now - owed.at)
+        for wire_id, release in list(self.pending.items()):
+            if now - max(release.created_at, self.resumed_at) > PENDING_LIFETIME_S:
+                del self.pending[wire_id]
+                self._note_delivery(Delivery.EXPIRED, wire_id, late_s=now - release.created_at)
                 continue
-            if link.number not in owed.told:
-                owed.told.add(link.number)
-                link.write(owed.message)
-            if link in self.asked:
-                del self.owed[wire_id]
-                self.unheard[wire_id] = (now, link, owed.message)
-                self._note_delivery(Delivery.DELIVERED_LATE, wire_id, link, now - owed.at)
+            if link.number not in release.sent_to:
+                release.sent_to.add(link.number)
+                link.write(release.message)
+            if link in self.caller_links:
+                del self.pending[wire_id]
+                self.unconfirmed[wire_id] = (now, link, release.message)
+                self._note_delivery(Delivery.DELIVERED_LATE, wire_id, link, now - release.created_at)
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.links) >= self.most_links and not self._make_room():
-            self.log("warning", "front", "too many connections")
+        if len(self.links) >= self.max_links and not self._make_room():
+            self.log("warning", "front", "connection limit reached; closing a new connection")
             writer.transport.abort()
             return
         link = Link(reader, writer)
         self.links.add(link)
-        self.new[link] = link.loop.call_later(PAY_S, self._pay, link)
+        self.delivery_timers[link] = link.loop.call_later(
+            PENDING_DELIVERY_DELAY_S, self._deliver_pending, link
+        )
 
-        # Guards against those who say nothing, or never end what they begin: each holds a descriptor.
-        first = link.loop.call_later(FIRST_S, self._drop, link, "nothing usable in time")
+        # Clients that send nothing, or never complete a message, would each hold a descriptor.
+        first_message_timer = link.loop.call_later(
+            FIRST_MESSAGE_TIMEOUT_S, self._drop_link, link, "no valid message within 2.5 s"
+        )
 
-        def take(chunks: Chunks) -> bool:
-            taken = False
-            while not link.closed and (text := chunks.line()) is not None:
-                self._heard(link, text)
-                first.cancel()
-                taken = True
-            return taken
+        def on_data(chunks: Chunks) -> bool:
+            any_taken = False
+            while not link.closed and (raw_line := chunks.take_line()) is not None:
+                self._on_message(link, raw_line)
+                first_message_timer.cancel()
+                any_taken = True
+            return any_taken
 
         try:
-            ended = await link.read_all(take, REST_S, lambda: self._drop(link, "a message without end"))
-            if ended != "closed" and not link.closed:
-                self.log("notice", "front", f"connection ended: {ended}")
+            how_ended = await link.read_all(
+                on_data,
+                PARTIAL_MESSAGE_TIMEOUT_S,
+                lambda: self._drop_link(link, "message not complete within 2 s"),
+            )
+            if how_ended != "closed" and not link.closed:
+                self.log("notice", "front", f"connection ended: {how_ended}")
         except FramingError as error:
-            if self._fail_open(link, str(error)):
-                await link.farewell()
-        except Exception as error:  # noqa: BLE001 - one bad message must cost one connection, no more
+            if self._fail_open_set_ups(link, str(error)):
+                await link.close_gracefully()
+        except Exception as error:  # noqa: BLE001 - an error in one message must cost no more than its connection
             self.log("error", "front", f"connection dropped: {error!r}")
         finally:
-            first.cancel()
-            self._not_new(link)
+            first_message_timer.cancel()
+            self._cancel_delivery_timer(link)
             link.abort()
             self.links.discard(link)
-            self.asked.discard(link)
-            for leg in [leg for leg in self.legs.values() if leg.link is link and not leg.stands]:
-                self._left(leg, NORMAL_CLEARING)
-            # Guards against a release that was written as the caller closed: it goes out once more.
-            for wire_id, (at, over, message) in list(self.unheard.items()):
-                if over is link and link.loop.time() - at < CROSSING_S:
-                    del self.unheard[wire_id]
+            self.caller_links.discard(link)
+            for leg in [leg for leg in self.legs.values() if leg.link is link and not leg.standing]:
+                self._on_caller_left(leg, NORMAL_CLEARING)
+            # The caller may have closed before it read a release: send it once more.
+            for wire_id, (written_at, written_link, message) in list(self.unconfirmed.items()):
+                if written_link is link and link.loop.time() - written_at < CONFIRMATION_WINDOW_S:
+                    del self.unconfirmed[wire_id]
                     self.release_anywhere(wire_id, link, message)
 
-    def _drop(self, link: Link, reason: str) -> None:
+    def _drop_link(self, link: Link, reason: str) -> None:
         if link.closed:
             return
-        if self._fail_open(link, reason):
+        if self._fail_open_set_ups(link, reason):
             link.closed = True
             link.writer.close()
         else:
             link.abort()
 
-    def _fail_open(self, link: Link, reason: str) -> bool:
-        """The connection is of no use any more, so its open set-ups are failed; whether there were any."""
+    def _fail_open_set_ups(self, link: Link, reason: str) -> bool:
+        """Log why the connection is unusable, and fail its open set-ups; returns whether there were any."""
         self.log("warning", "front", f"connection dropped: {reason}")
-        open_legs = [leg for leg in self.legs.values() if leg.link is link and not leg.stands]
+        open_legs = [leg for leg in self.legs.values() if leg.link is link and not leg.standing]
         for leg in open_legs:
             leg.call.fail() if leg.call else leg.fail(TEMPORARY_FAILURE)
         return bool(open_legs)
 
     def _make_room(self) -> bool:
-        """Close the connection that is missed least: one that never brought a set-up, else one long idle."""
+        """Close the least useful connection without open set-ups; returns False if there is none.
+
+        A connection that has brought no call goes first, then the one that was silent for longest.
+        """
         now = next(iter(self.links)).loop.time()
-        busy = {leg.link for leg in self.legs.values() if not leg.stands}
+        busy = {leg.link for leg in self.legs.values() if not leg.standing}
 
-        def worth(link: Link) -> tuple[bool, float]:
-            return link in self.asked or now - link.heard_at < YOUNG_S, link.heard_at
+        def usefulness(link: Link) -> tuple[bool, float]:
+            return (
+                link in self.caller_links or now - link.received_at < NEW_CONNECTION_GRACE_S,
+                link.received_at,
+            )
 
-        idle = min((one for one in self.links if one not in busy), key=worth, default=None)
+        idle = min(
+            (candidate for candidate in self.links if candidate not in busy), key=usefulness, default=None
+        )
         if idle:
             idle.abort()
             self.links.discard(idle)
         return idle is not None
 
     def forget(self, leg: JsonLeg) -> bool:
-        """The call is over; false if it was already."""
+        """Remove an ended call; returns False if it was removed before."""
         if self.legs.get(leg.wire_id) is not leg:
             return False
         del self.legs[leg.wire_id]
-        self._over(leg.wire_id)
+        self._remember_ended(leg.wire_id)
         return True
 
-    def _over(self, wire_id: str) -> None:
-        self.over[wire_id] = None
-        if len(self.over) > MOST_OVER:
-            del self.over[next(iter(self.over))]
+    def _remember_ended(self, wire_id: str) -> None:
+        self.ended_ids[wire_id] = None
+        if len(self.ended_ids) > MAX_ENDED_IDS:
+            del self.ended_ids[next(iter(self.ended_ids))]
 
-    def _heard(self, link: Link, text: memoryview) -> None:
+    def _on_message(self, link: Link, raw_line: memoryview) -> None:
         try:
-            row = json.loads(str(text, "utf-8"))
+            row = json.loads(str(raw_line, "utf-8"))
         except (ValueError, RecursionError):
             raise FramingError("a line that is not JSON") from None
         if not isinstance(row, dict) or not isinstance(row.get("id"), str) or not TOKEN.fullmatch(row["id"]):
-            raise FramingError("a message without a usable id")
-        kind, wire_id = row.get("type"), row["id"]
-        if kind == "setup":
+            raise FramingError("message without a valid id")
+        message_type, wire_id = row.get("type"), row["id"]
+        if message_type == "setup":
             self._set_up(link, row)
-        elif kind == "release":
+        elif message_type == "release":
             self._release(link, row)
-        elif kind == "ping":
-            # Guards against answering a test with what is owed: to the platform's front anything but a pong
-            # is a no, and the callers who should be told would never come back.
-            self._not_new(link)
-            link.write(line("pong", wire_id, cause=1 if self.gatekeeper.accepts_callers else 0))
-        elif kind == "released":
-            self.unheard.pop(wire_id, None)
-            self.owed.pop(wire_id, None)
-        elif kind != "progress":
-            raise FramingError("a message of unknown type")
+        elif message_type == "ping":
+            # A ping gets its pong only, without pending releases: to the platform's front anything but a pong is a
+            # negative answer, and the callers that need the releases would never come back.
+            self._cancel_delivery_timer(link)
+            link.write(format_line("pong", wire_id, cause=1 if self.gatekeeper.accepts_callers else 0))
+        elif message_type == "released":
+            self.unconfirmed.pop(wire_id, None)
+            self.pending.pop(wire_id, None)
+        elif message_type != "progress":
+            raise FramingError("message of unknown type")
 
     def _set_up(self, link: Link, row: dict[str, Any]) -> None:
         wire_id = row["id"]
-        # Guards against a second answer under one id: whoever has it keeps his, and the other gets a close.
-        if wire_id in self.legs or wire_id in self.over or not HEX.fullmatch(wire_id):
-            raise FramingError("a set-up whose id is taken or none")
+        # Two calls with one id cannot be told apart: the first one keeps it, the second one's connection is closed.
+        if wire_id in self.legs or wire_id in self.ended_ids or not CALL_ID.fullmatch(wire_id):
+            raise FramingError("set-up with an id that is in use or malformed")
         try:
             offer = parse_offer(row)
-        except BadSetUp as error:
-            self.log("warning", "front", f"a set-up with an unusable {error} was failed", call=wire_id)
-            self._over(wire_id)
+        except InvalidSetUp as error:
+            self.log(
+                "warning",
+                "front",
+                f"set-up with an invalid value of {error}; releasing it with cause 100",
+                call=wire_id,
+            )
+            self._remember_ended(wire_id)
             fields = row.get("fields")
             class_name = fields.get("class") if isinstance(fields, dict) else None
             self.gatekeeper.metrics.count_verdict(Verdict.FAILURE, str(class_name))
-            return link.write(line("release", wire_id, cause=INVALID_ELEMENT))
-        self.asked.add(link)
-        self._pay(link)
+            return link.write(format_line("release", wire_id, cause=INVALID_ELEMENT))
+        self.caller_links.add(link)
+        self._deliver_pending(link)
         leg = self.legs[wire_id] = JsonLeg(self, link, wire_id)
-        if link in self._carrying():
+        if link in self._links_to_keep():
             return self.gatekeeper.reject(offer, leg)
         leg.call = self.gatekeeper.offer(offer, leg)
 
     def _release(self, link: Link, row: dict[str, Any]) -> None:
         leg = self.legs.get(row["id"])
         if leg is None:
-            # A release that crossed ours is heard; one of a call that never was is an error, and said so.
-            known = row["id"] in self.over
-            if not known and self.send_to_other_process and isinstance(row.get("cause"), int):
+            # A release that crossed ours is confirmed; one of a call that never existed gets an error.
+            is_known = row["id"] in self.ended_ids
+            if not is_known and self.send_to_other_process and isinstance(row.get("cause"), int):
                 self.send_to_other_process("release", id=row["id"], cause=row["cause"])
-                known = True
+                is_known = True
             reply = (
-                line("released", row["id"]) if known else line("release", row["id"], cause=INVALID_REFERENCE)
+                format_line("released", row["id"])
+                if is_known
+                else format_line("release", row["id"], cause=INVALID_REFERENCE)
             )
             return link.write(reply)
         cause = row.get("cause")
-        self.asked.add(link)
-        link.write(line("released", leg.wire_id))
-        self._left(leg, cause if isinstance(cause, int) and 0 < cause < 128 else NORMAL_CLEARING)
+        self.caller_links.add(link)
+        link.write(format_line("released", leg.wire_id))
+        self._on_caller_left(leg, cause if isinstance(cause, int) and 0 < cause < 128 else NORMAL_CLEARING)
 
-    def _left(self, leg: JsonLeg, cause: int) -> None:
-        if not leg.stands:
-            self.forget(leg)  # no answer is owed any more
+    def _on_caller_left(self, leg: JsonLeg, cause: int) -> None:
+        if not leg.standing:
+            self.forget(leg)  # no answer is pending any more
         if leg.call:
             leg.call.caller_left(cause)
--- a/tansyspur/net/link.py
+++ b/tansyspur/net/link.py
@@ -1,4 +1,4 @@
-"""One TCP connection: read in chunks, written without waiting, dropped when the other side stalls."""
+"""One TCP connection: read in chunks, written without waiting, aborted when the other side stops reading."""
 
 import asyncio
 import contextlib
@@ -9,80 +9,97 @@
 from array import array
 from collections.abc import Callable
 
-from tansyspur.net.framing import LONGEST, Chunks
+from tansyspur.net.framing import MAX_MESSAGE_BYTES, Chunks
 
-READ_SIZE = 16 * 1024  # what one connection may bring before the others have their turn
-SEND_BUFFER = 8 * 1024  # of the kernel: what a stalled peer can be owed
-MOST_UNSENT = 256 * 1024
-STALL_S = 0.5  # bytes that stay unsent for so long show that the other side takes none
-LINGER_S, LINGER_BYTES = 0.2, 512 * 1024  # what is still read, and dropped, after the last word
+READ_BYTES = 16 * 1024  # read from one connection before the others get their turn
+SEND_BUFFER_BYTES = 8 * 1024  # of the kernel; limits what waits there for a stalled peer
+MAX_UNSENT_BYTES = 256 * 1024
+STALL_TIMEOUT_S = 0.5  # bytes unsent for this long show that the other side does not read
+LINGER_S, LINGER_BYTES = (
+    0.2,
+    512 * 1024,
+)  # how long and how much is read and discarded after the final message
 
 
 class Link:
-    """Messages in by on_data, which takes what it can from the chunks; write() never waits."""
+    """A connection with its unconsumed chunks.
 
-    numbers = itertools.count(1)
+    read_all() passes received bytes to a callback, which consumes complete messages. write() never waits: a connection
+    that does not send its bytes within STALL_TIMEOUT_S, or holds more than MAX_UNSENT_BYTES, is aborted.
+    """
+
+    _numbers = itertools.count(1)
 
     def __init__(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, longest: int = LONGEST
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        max_message_bytes: int = MAX_MESSAGE_BYTES,
     ) -> None:
         self.reader, self.writer = reader, writer
-        self.number = next(self.numbers)  # by which the log tells connections apart
-        self.chunks = Chunks(longest)
+        self.number = next(self._numbers)  # identifies the connection in the log
+        self.chunks = Chunks(max_message_bytes)
         self.loop = asyncio.get_running_loop()
         self.closed = False
-        self.heard_at = self.opened_at = self.loop.time()
+        self.received_at = self.opened_at = self.loop.time()
         self.stall_timer: asyncio.TimerHandle | None = None
-        self.waits: set[asyncio.Task[None]] = set()
+        self.write_waiters: set[asyncio.Task[None]] = set()
         writer.transport.set_write_buffer_limits(high=0)  # drain() waits for the last byte
         sock = writer.get_extra_info("socket")
         if sock is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
 
     async def read_all(
-        self, on_data: Callable[[Chunks], bool], rest_s: float, unfinished: Callable[[], None]
+        self,
+        on_data: Callable[[Chunks], bool],
+        incomplete_timeout_s: float,
+        on_incomplete: Callable[[], None],
     ) -> str:
-        """Until the connection ends; says how it ended. A FramingError is the caller's to handle.
+        """Read until the connection ends, and return how it ended: "closed" or the text of the system error.
 
-        on_data says whether it took a message. unfinished() is called when the next one has begun and does
-        not end within rest_s: where a length is wrong, all that follows would be taken for a part of it.
+        on_data consumes complete messages from the chunks and returns whether there were any; a FramingError that it
+        raises goes through to the caller. on_incomplete() is called when a message has begun and is not complete within
+        incomplete_timeout_s: where a length is wrong, all that follows would be taken for a part of that message.
         """
-        rest: asyncio.TimerHandle | None = None
+        incomplete_timer: asyncio.TimerHandle | None = None
         try:
-            while chunk := await self.reader.read(READ_SIZE):
-                self.heard_at = self.loop.time()
+            while chunk := await self.reader.read(READ_BYTES):
+                self.received_at = self.loop.time()
                 if self.closed:
-                    continue  # the last word is said
+                    continue  # closing: only discard
                 self.chunks.feed(chunk)
                 taken = on_data(self.chunks)
-                if rest and (taken or not self.chunks.view):
-                    rest.cancel()
-                    rest = None
-                if self.chunks.view and not rest:
-                    rest = self.loop.call_later(rest_s, unfinished)
-                if len(chunk) == READ_SIZE:
-                    # Guards against one flooding connection: a read of bytes that are there never waits.
+                if incomplete_timer and (taken or not self.chunks.view):
+                    incomplete_timer.cancel()
+                    incomplete_timer = None
+                if self.chunks.view and not incomplete_timer:
+                    incomplete_timer = self.loop.call_later(incomplete_timeout_s, on_incomplete)
+                if len(chunk) == READ_BYTES:
+                    # A read of bytes that are available never waits: without this a flooding connection would
+                    # block all others.
                     await asyncio.sleep(0)
         except OSError as error:
             return error.strerror or type(error).__name__
         finally:
-            if rest:
-                rest.cancel()
+            if incomplete_timer:
+                incomplete_timer.cancel()
         return "closed"
 
-    async def farewell(self) -> None:
-        """Close after what is written. Guards against the reset that unread bytes would cause, which can
-        overtake the last answers."""
+    async def close_gracefully(self) -> None:
+        """Send what is written, then discard incoming bytes for LINGER_S at most.
+
+        Closing with unread bytes would cause a reset, which can overtake the last messages written.
+        """
         self.closed = True
-        dropped = 0
+        discarded_bytes = 0
         with contextlib.suppress(OSError, TimeoutError):
             self.writer.write_eof()
             async with asyncio.timeout(LINGER_S):
-                while dropped < LINGER_BYTES and (chunk := await self.reader.read(READ_SIZE)):
-                    dropped += len(chunk)
+                while discarded_bytes < LINGER_BYTES and (chunk := await self.reader.read(READ_BYTES)):
+                    discarded_bytes += len(chunk)
 
-    def leave(self) -> None:
-        """The same while read_all() runs: it reads, and drops, what still comes."""
+    def start_graceful_close(self) -> None:
+        """Like close_gracefully(), while read_all() is running, which reads and discards what still arrives."""
         if not self.closed:
             self.closed = True
             with contextlib.suppress(OSError):
@@ -91,43 +108,44 @@
 
     @property
     def unsent(self) -> int:
+        """Bytes written that are not passed to the kernel yet."""
         return 0 if self.closed else self.writer.transport.get_write_buffer_size()
 
     @property
-    def unfinished(self) -> bool:
-        """Whether a message has begun to come and is not whole."""
+    def has_partial_message(self) -> bool:
+        """Whether the first part of a message has been received and the rest has not."""
         return bool(self.chunks.view)
 
     @property
     def unread(self) -> int:
-        """Bytes that have come and that the loop has not read."""
-        waiting = array("i", [0])
-        with contextlib.suppress(OSError, ValueError):  # it is closed
-            fcntl.ioctl(self.writer.get_extra_info("socket").fileno(), termios.FIONREAD, waiting)
-        return waiting[0]
-
-    def write(self, data: bytes, written: Callable[[], None] | None = None) -> None:
-        """Written or dropped; written() is called once the last byte has left."""
+        """Bytes that have arrived in the kernel and are not read yet."""
+        unread_bytes = array("i", [0])
+        with contextlib.suppress(OSError, ValueError):  # the socket is closed
+            fcntl.ioctl(self.writer.get_extra_info("socket").fileno(), termios.FIONREAD, unread_bytes)
+        return unread_bytes[0]
+
+    def write(self, data: bytes, on_written: Callable[[], None] | None = None) -> None:
+        """Write the data, or drop it if the connection is closing; on_written() is called after its last byte."""
         if self.closed or self.writer.transport.is_closing():
             return
         self.writer.write(data)
-        if written and not self.unsent:
-            written()
-        elif written:
-            waits = self.loop.create_task(self._when_written(written))
-            self.waits.add(waits)
-            waits.add_done_callback(self.waits.discard)
-        if self.unsent > MOST_UNSENT:
+        if on_written and not self.unsent:
+            on_written()
+        elif on_written:
+            task = self.loop.create_task(self._when_written(on_written))
+            self.write_waiters.add(task)
+            task.add_done_callback(self.write_waiters.discard)
+        if self.unsent > MAX_UNSENT_BYTES:
             self.abort()
         elif self.unsent and self.stall_timer is None:
-            self.stall_timer = self.loop.call_later(STALL_S, self._stalled)
+            self.stall_timer = self.loop.call_later(STALL_TIMEOUT_S, self._stalled)
 
-    async def _when_written(self, written: Callable[[], None]) -> None:
-        with contextlib.suppress(OSError):  # it ended first
+    async def _when_written(self, on_written: Callable[[], None]) -> None:
+        with contextlib.suppress(OSError):  # the connection ended first
             await self.writer.drain()
-            # Guards against counting what was dropped: an aborted connection ends the wait without error.
+            # An aborted connection ends the wait without an error: dropped bytes must not count as sent.
             if not self.writer.transport.is_closing():
-                written()
+                on_written()
 
     def _stalled(self) -> None:
         self.stall_timer = None
@@ -135,7 +153,7 @@
             self.abort()
 
     def abort(self) -> None:
-        """At once; what is not written yet never leaves."""
+        """Close at once; unsent bytes are dropped."""
         self.closed = True
         if self.stall_timer:
             self.stall_timer.cancel()
--- a/tansyspur/net/releases.py
+++ b/tansyspur/net/releases.py
@@ -1,37 +1,44 @@
-"""Releases that a carrier switch is owed: kept until they were written on a connection that lived on. No I/O."""
+"""Releases that are pending at a carrier switch: kept until a connection has delivered them. No I/O."""
 
 from collections.abc import Hashable
 
-MOST_KEPT = 1000
+MAX_PENDING = 1000
 
 
-class OwedReleases:
-    """By Call-ID. A release counts as delivered once its connection is heard after it was written."""
+class PendingReleases:
+    """Pending release messages by Call-ID, at most MAX_PENDING waiting for a connection.
+
+    A release counts as delivered once any byte is received on its connection after it was written.
+    """
 
     def __init__(self) -> None:
-        self._kept: dict[str, bytes] = {}  # for the next connection
-        self._written: dict[Hashable, dict[str, bytes]] = {}  # since the connection was last heard
+        self._pending: dict[str, bytes] = {}  # waiting for the next connection
+        self._written: dict[
+            Hashable, dict[str, bytes]
+        ] = {}  # written since bytes were last received on the connection
 
     def keep(self, call_id: str, message: bytes) -> None:
-        if len(self._kept) < MOST_KEPT:
-            self._kept[call_id] = message
-
-    def sent_on(self, link: Hashable) -> list[bytes]:
-        """All that is kept, to be written on this connection now."""
-        kept, self._kept = self._kept, {}
-        if kept:
-            self._written.setdefault(link, {}).update(kept)
-        return list(kept.values())
-
-    def heard(self, link: Hashable) -> None:
+        """Keep a release for the next connection; beyond MAX_PENDING it is dropped."""
+        if len(self._pending) < MAX_PENDING:
+            self._pending[call_id] = message
+
+    def take_for(self, link: Hashable) -> list[bytes]:
+        """Return all waiting releases. The caller writes them on this connection now."""
+        pending, self._pending = self._pending, {}
+        if pending:
+            self._written.setdefault(link, {}).update(pending)
+        return list(pending.values())
+
+    def confirm(self, link: Hashable) -> None:
+        """Bytes were received on the connection, so the releases written on it are delivered."""
         self._written.pop(link, None)
 
-    def lost(self, link: Hashable) -> None:
-        """The connection ended: what was written since it was last heard goes out again."""
+    def requeue(self, link: Hashable) -> None:
+        """The connection ended: releases written since bytes were last received on it wait again."""
         for call_id, message in self._written.pop(link, {}).items():
             self.keep(call_id, message)
 
     def forget(self, call_id: str) -> None:
-        """The release must not leave any more."""
-        for releases in (self._kept, *self._written.values()):
+        """Remove a release that must not be sent any more."""
+        for releases in (self._pending, *self._written.values()):
             releases.pop(call_id, None)
--- a/tansyspur/net/sip_messages.py
+++ b/tansyspur/net/sip_messages.py
@@ -1,23 +1,32 @@
-"""SIP messages (the part of RFC 3261 that PROTOCOL names): read from chunks, and made. No I/O."""
+"""Parsing and formatting of SIP messages: the subset of RFC 3261 that PROTOCOL names. No I/O."""
 
 import re
 from dataclasses import dataclass
 
 from tansyspur import interface
-from tansyspur.net.framing import LONGEST, Chunks, FramingError
+from tansyspur.net.framing import MAX_MESSAGE_BYTES, Chunks, FramingError
 from tansyspur.translate import parse_report
 
-START = re.compile(r"SIP/2\.0 [1-6][0-9]{2}(?: .*)?|[A-Z]{1,16} \S+ SIP/2\.0")
+START_LINE = re.compile(r"SIP/2\.0 [1-6][0-9]{2}(?: .*)?|[A-Z]{1,16} \S+ SIP/2\.0")
 HEADER = re.compile(r"[!-9;-~]+[ \t]*:.*")
-# As callers and switches describe a call: a word of its own, then lines of SDP (RFC 4566).
+# The description of a call's media: one word that both sides leave as it is, then lines of SDP (RFC 4566).
 DESCRIPTION = re.compile(r"\S+[ \t]*\r\n(?:[a-z]=[^\x00-\x08\x0a-\x1f\x7f]*\r\n)+")
-COMPACT = {"i": "call-id", "l": "content-length", "v": "via", "f": "from", "t": "to", "m": "contact"}
-SINGLE = ("call-id", "cseq", "content-length")
+COMPACT_HEADER_NAMES = {
+    "i": "call-id",
+    "l": "content-length",
+    "v": "via",
+    "f": "from",
+    "t": "to",
+    "m": "contact",
+}
+SINGLE_HEADERS = ("call-id", "cseq", "content-length")
 
 
 @dataclass(slots=True)
 class Message:
-    start: str
+    """A request or response. Header names are in lower case, compact forms expanded."""
+
+    start_line: str
     headers: dict[str, str]
     body: memoryview
 
@@ -27,70 +36,76 @@
 
 
 def parse(chunks: Chunks) -> Message | None:
-    """The next whole message; None if it has not come.
+    """Consume and return the next complete message; None if it has not arrived.
 
-    What is no message is an error at once: where one begins is not known after it, and whatever is read from
-    there on may be put together from pieces of others.
+    Raises FramingError at the first byte that cannot belong to a message: after it the start of the next message is
+    unknown, and anything read from there on could be assembled from parts of several messages.
     """
     while chunks.view[:2] == b"\r\n":  # RFC 3261 section 7.5: empty lines before a message
         chunks.take(2)
     if chunks.view[:1] != b"\r" and chunks.view and not 65 <= chunks.view[0] <= 90:
-        raise FramingError("what came is no SIP")
-    end = chunks.find(b"\r\n\r\n")
-    if end < 0 or end > LONGEST:
-        if end > LONGEST or len(chunks.view) > LONGEST:
-            raise FramingError("a SIP head is too long")
+        raise FramingError("not a SIP message")
+    head_bytes = chunks.find(b"\r\n\r\n")
+    if head_bytes < 0 or head_bytes > MAX_MESSAGE_BYTES:
+        if head_bytes > MAX_MESSAGE_BYTES or len(chunks.view) > MAX_MESSAGE_BYTES:
+            raise FramingError("SIP header section longer than 16 KiB")
         return None
     try:
-        start, *lines = str(chunks.view[:end], "utf-8").split("\r\n")
+        start_line, *lines = str(chunks.view[:head_bytes], "utf-8").split("\r\n")
     except UnicodeDecodeError:
-        raise FramingError("a SIP head that is not text") from None
-    if not START.fullmatch(start):
-        raise FramingError("an unreadable first line")
+        raise FramingError("SIP header section is not UTF-8") from None
+    if not START_LINE.fullmatch(start_line):
+        raise FramingError("malformed SIP start line")
     headers: dict[str, str] = {}
     for line in lines:
         if not HEADER.fullmatch(line):
-            raise FramingError("an unreadable header")
+            raise FramingError("malformed SIP header")
         name, _, value = line.partition(":")
         name = name.strip().lower()
-        name = COMPACT.get(name, name)
-        if name in headers and name in SINGLE:
-            raise FramingError(f"a SIP message with two of {name}")  # which of them holds is anybody's guess
+        name = COMPACT_HEADER_NAMES.get(name, name)
+        if name in headers and name in SINGLE_HEADERS:
+            raise FramingError(f"SIP message with more than one {name}")  # no rule says which one is valid
         headers[name] = value.strip()
     length = headers.get("content-length", "")
     if not re.fullmatch(r"[0-9]{1,9}", length):
-        raise FramingError("a SIP message without a usable Content-Length")
-    whole = end + 4 + int(length)
-    if whole > LONGEST:
-        raise FramingError("a SIP message is too long")
-    if len(chunks.view) < whole:
+        raise FramingError("SIP message without a valid Content-Length")
+    total_bytes = head_bytes + 4 + int(length)
+    if total_bytes > MAX_MESSAGE_BYTES:
+        raise FramingError("SIP message longer than 16 KiB")
+    if len(chunks.view) < total_bytes:
         return None
-    return Message(start, headers, chunks.take(whole)[end + 4 :])
+    return Message(start_line, headers, chunks.take(total_bytes)[head_bytes + 4 :])
 
 
 def parse_group(text: str) -> interface.LoadReport | None:
-    """A report such as 'x0:12;x1:40;queue:3', in the fields the settings name."""
-    figures: dict[str, float] = {}
+    """Parse a load report such as 'x0:12;x1:40;queue:3'; the settings name its keys. None if it has no values."""
+    values: dict[str, float] = {}
     for pair in text.split(";"):
-        name, _, figure = pair.partition(":")
-        if re.fullmatch(r"-?[0-9]{1,15}(\.[0-9]{1,15})?", figure.strip()):
-            figures[name.strip()] = float(figure)
-    return parse_report(figures) if figures else None
+        name, _, value = pair.partition(":")
+        if re.fullmatch(r"-?[0-9]{1,15}(\.[0-9]{1,15})?", value.strip()):
+            values[name.strip()] = float(value)
+    return parse_report(values) if values else None
+
 
+def answer_description(body: memoryview) -> str:
+    """Return the media description in the body of an answer.
 
-def description(body: memoryview) -> str:
-    """Of an answer. Guards against passing on one that was cut short, or that holds a part of the next
-    message: a length that does not fit makes both."""
+    Raises FramingError if it is malformed. A wrong Content-Length truncates the description or appends a part of the
+    next message; without this check it would be passed on to the caller.
+    """
     try:
         text = str(body, "utf-8")
     except UnicodeDecodeError:
         text = ""
     if not DESCRIPTION.fullmatch(text):
-        raise FramingError("an answer with an unreadable description")
+        raise FramingError("answer with a malformed media description")
     return text
 
 
-def request(method: str, target: str, call_id: str, cseq: int, *headers: str, body: bytes = b"") -> bytes:
+def format_request(
+    method: str, target: str, call_id: str, cseq: int, *headers: str, body: bytes = b""
+) -> bytes:
+    """Return a request in wire format. target is the user part of the request URI."""
     lines = [
         f"{method} sip:{target}@net SIP/2.0",
         "Via: SIP/2.0/TCP gatekeeper",
