--- a/tansyspur/syslog.py
+++ b/tansyspur/syslog.py
@@ -1,4 +1,4 @@
-"""Call records and warnings as RFC 5424 lines on standard error, rate-limited, and optionally over UDP."""
+"""The structured log: RFC 5424 lines on standard error, rate-limited, and optionally sent over UDP as well."""
 
 import os
 import re
@@ -12,35 +12,46 @@
 FACILITY = 16  # local0
 SD_ID = "call@32473"  # the enterprise number of RFC 5612, for documentation
 LINES_PER_S = 50.0
-BURST = 200.0
-KEPT = 100.0  # of the burst, for notices and what is worse
-LONGEST = 1800  # characters of one value or message; RFC 5424 asks receivers to take 2048 octets
+BURST_LINES = 200.0
+RESERVED_LINES = 100.0  # part of the burst that only notices and more severe lines may use
+MAX_TEXT_CHARS = 1800  # of one value or message; RFC 5424 asks receivers to take 2048 octets
 
 
 def escape(value: object) -> str:
-    """A PARAM-VALUE: section 6.3.3 escapes '"', '\\' and ']'; line ends would break the line."""
-    text = str(value)[:LONGEST]
-    text = "".join(mark if mark.isprintable() else "?" for mark in text)
+    """Return a PARAM-VALUE: '"', '\\' and ']' escaped as section 6.3.3 says, characters such as line ends replaced."""
+    text = str(value)[:MAX_TEXT_CHARS]
+    text = "".join(character if character.isprintable() else "?" for character in text)
     return re.sub(r'(["\\\]])', r"\\\1", text)
 
 
-def printable(text: str, longest: int) -> str:
-    """A header field: 1 to so many printable ASCII characters, or the nil value."""
-    return re.sub(r"[^!-~]", "", text)[:longest] or "-"
+def printable(text: str, max_chars: int) -> str:
+    """Return a header field: 1 to max_chars printable ASCII characters, or the nil value "-"."""
+    return re.sub(r"[^!-~]", "", text)[:max_chars] or "-"
 
 
 def format_message(
-    severity: int, at: datetime, head: str, msgid: str, sd_id: str, params: Mapping[str, object], text: str
+    severity: int,
+    time_of_event: datetime,
+    header: str,
+    msgid: str,
+    sd_id: str,
+    params: Mapping[str, object],
+    text: str,
 ) -> str:
-    """An RFC 5424 line; head is HOSTNAME, APP-NAME and PROCID."""
-    stamp = at.astimezone(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
+    """Return an RFC 5424 line without its line end; header is HOSTNAME, APP-NAME and PROCID."""
+    timestamp = time_of_event.astimezone(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
     pairs = "".join(f' {name}="{escape(value)}"' for name, value in params.items())
-    data = f"[{sd_id}{pairs}]" if pairs else "-"
-    words = "".join(mark if mark.isprintable() else "?" for mark in text[:LONGEST])
-    return f"<{FACILITY * 8 + severity}>1 {stamp} {head} {printable(msgid, 32)} {data} {words}"
+    structured_data = f"[{sd_id}{pairs}]" if pairs else "-"
+    safe_text = "".join(character if character.isprintable() else "?" for character in text[:MAX_TEXT_CHARS])
+    return f"<{FACILITY * 8 + severity}>1 {timestamp} {header} {printable(msgid, 32)} {structured_data} {safe_text}"
 
 
 class Syslog:
+    """Writes log lines at or above a threshold, at most LINES_PER_S on average with bursts of BURST_LINES.
+
+    Lines beyond the rate are dropped and counted; the count is logged. With udp_address each line is sent there too.
+    """
+
     def __init__(
         self,
         host: str,
@@ -48,10 +59,10 @@
         udp_address: tuple[str, int] | None = None,
         app: str = "tansyspur",
     ) -> None:
-        self.head = f"{printable(host, 255)} {printable(app, 48)} {os.getpid()}"
+        self.header = f"{printable(host, 255)} {printable(app, 48)} {os.getpid()}"
         self.set_level(threshold)
-        self.allowance, self.filled_at, self.dropped = BURST, time.monotonic(), 0
-        self.told_at = 0.0
+        self.allowance, self.allowance_at, self.dropped = BURST_LINES, time.monotonic(), 0
+        self.drops_reported_at = 0.0
         self.udp_address = udp_address
         self.socket: socket.socket | None = None
         if udp_address:
@@ -63,20 +74,23 @@
         self.threshold = SEVERITIES[threshold]
 
     def __call__(self, level: str, msgid: str, text: str, /, **params: object) -> None:
-        """Write one line, or count it as dropped."""
+        """Write one line, or count it as dropped if the rate is exceeded.
+
+        level is a key of SEVERITIES; params are written as structured data, without empty values.
+        """
         severity = SEVERITIES[level]
         if severity > self.threshold:
             return
         now = time.monotonic()
-        self.allowance = min(BURST, self.allowance + (now - self.filled_at) * LINES_PER_S)
-        self.filled_at = now
-        # Guards against call records that crowd out the line which says why they went wrong.
-        if self.allowance < (1 if severity <= SEVERITIES["notice"] else KEPT):
+        self.allowance = min(BURST_LINES, self.allowance + (now - self.allowance_at) * LINES_PER_S)
+        self.allowance_at = now
+        # Call records must not crowd out the line that says why they went wrong, so a part of the burst is reserved.
+        if self.allowance < (1 if severity <= SEVERITIES["notice"] else RESERVED_LINES):
             self.dropped += 1
             return
         self.allowance -= 1
-        if self.dropped and now - self.told_at >= 1:
-            self.told_at = now
+        if self.dropped and now - self.drops_reported_at >= 1:
+            self.drops_reported_at = now
             dropped, self.dropped = self.dropped, 0
             self._emit(4, "dropped", f"{dropped} lines were dropped", {"lines": dropped})
         self._emit(severity, msgid, text, params)
@@ -91,10 +105,11 @@
                 self.dropped += 1
 
     def format(self, severity: int, msgid: str, text: str, params: dict[str, object]) -> str:
-        told = {name: value for name, value in params.items() if value != ""}
-        return format_message(severity, datetime.now(UTC), self.head, msgid, SD_ID, told, text)
+        present = {name: value for name, value in params.items() if value != ""}
+        return format_message(severity, datetime.now(UTC), self.header, msgid, SD_ID, present, text)
 
     def close(self) -> None:
+        """Log the number of lines dropped since the last report, and close the UDP socket."""
         if self.dropped:
             self._emit(4, "dropped", f"{self.dropped} lines were dropped", {"lines": self.dropped})
         if self.socket:
--- a/tests/test_silent_switch.py
+++ b/tests/test_silent_switch.py
@@ -1,4 +1,7 @@
-"""Calls that stand on a carrier switch which gives no sign any more: their callers are told in time, and no others.
+"""Standing calls on a carrier switch that no longer responds are released to their callers in time; no others are.
+
+A switch that vanishes, hangs or is replaced at its address sends no releases. Without leases its calls would stand for
+ever, above all while discovery is down and reports nothing.
 
 The program runs as a process; switches and discovery are reached through fault proxies on loopback.
 """
@@ -11,14 +14,13 @@
 from tests.test_program import program
 from tests.world import Switch, World
 
-TOLD_S = (
-    8.05  # PROTOCOL, "The rules on sockets": what is over is told by then, where no release could be sent
-)
-QUIET_S = 9.0  # a call that is not over is not told to be so in this time
+# PROTOCOL, "The rules on sockets": the end of a call is reported within this time where no release could be sent.
+TOLD_S = 8.05
+QUIET_S = 9.0  # a call that has not ended must not be released within this time
 
 
-async def standing(caller, number, count):
-    """So many calls that stand on the switch with this number."""
+async def set_up_standing(caller, number, count):
+    """Set up count calls to the exchange number, and return their ids once they are answered."""
     calls = [caller.set_up(number) for _ in range(count)]
     for call in calls:
         assert (await caller.next(call))["type"] == "answer"
@@ -26,51 +28,51 @@
 
 
 async def releases(caller, seconds):
-    """Each call that is told to be over, and after how long, from now on."""
+    """Return the calls that are released within the given seconds, each with the time in seconds until then."""
     loop = asyncio.get_running_loop()
-    start, told = loop.time(), {}
-    while (left := start + seconds - loop.time()) > 0:
+    start, release_times = loop.time(), {}
+    while (remaining_s := start + seconds - loop.time()) > 0:
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(remaining_s):
                 row = await caller.next(kind="release")
         except TimeoutError:
             break
-        assert row["id"] not in told, "told twice"
-        told[row["id"]] = loop.time() - start
-    return told
+        assert row["id"] not in release_times, "released twice"
+        release_times[row["id"]] = loop.time() - start
+    return release_times
 
 
 @pytest.mark.parametrize("discovery", [Fault.REFUSE, Fault.SILENT])
 @program
-async def test_ends_on_a_vanished_switch_are_told_in_time_while_discovery_is_down(discovery):
+async def test_calls_on_a_vanished_switch_are_released_in_time_while_discovery_is_down(discovery):
     # Incident of 2026-12-02, issue 16.
-    gone, there = Switch("s-1", 1), Switch("s-2", 2)
-    async with World(gone, there, proxied=True) as world:
+    vanished, remaining = Switch("s-1", 1), Switch("s-2", 2)
+    async with World(vanished, remaining, proxied=True) as world:
         caller = await world.caller()
-        over, kept = await standing(caller, 1, 3), await standing(caller, 2, 2)
+        ended_calls, kept_calls = await set_up_standing(caller, 1, 3), await set_up_standing(caller, 2, 2)
         await world.channel_proxy.set_fault(discovery)
         world.channel_proxy.reset_connections()
-        await gone.proxy.set_fault(Fault.SILENT)
-        told = await releases(caller, TOLD_S)
-        assert set(told) == set(over), f"told {told}"
-        for call in kept:
-            there.bye(call)
+        await vanished.proxy.set_fault(Fault.SILENT)
+        release_times = await releases(caller, TOLD_S)
+        assert set(release_times) == set(ended_calls), f"released: {release_times}"
+        for call in kept_calls:
+            remaining.bye(call)
             assert (await caller.next(call))["type"] == "release"
 
 
-async def cut_discovery_off(world):
+async def cut_off_discovery(world):
     await world.channel_proxy.set_fault(Fault.REFUSE)
     world.channel_proxy.reset_connections()
 
 
 @program
-async def test_a_switch_that_is_back_after_a_partition_keeps_its_calls():
-    # Guards against cutting what still stands: the release of one call shows that the process is the same.
+async def test_a_switch_that_returns_after_a_partition_keeps_its_calls():
+    # The release of one call shows that the process is the same, so the other calls must not be cut.
     switch = Switch("s-1", 1)
     async with World(switch, proxied=True) as world:
         caller = await world.caller()
-        first, *others = await standing(caller, 1, 3)
-        await cut_discovery_off(world)
+        first, *others = await set_up_standing(caller, 1, 3)
+        await cut_off_discovery(world)
         await switch.proxy.set_fault(Fault.SILENT)
         switch.untold[first] = 16
         await asyncio.sleep(4)
@@ -83,51 +85,51 @@
 
 @pytest.mark.parametrize("away_s", [0, 3])
 @program
-async def test_another_process_at_the_address_holds_none_of_the_calls_from_before(away_s):
+async def test_a_new_process_at_the_address_holds_none_of_the_earlier_calls(away_s):
     # A process that dies resets its connections; a machine that vanishes does not.
     switch = Switch("s-1", 1)
     async with World(switch, proxied=True) as world:
         caller = await world.caller()
-        over = await standing(caller, 1, 3)
-        await cut_discovery_off(world)
+        ended_calls = await set_up_standing(caller, 1, 3)
+        await cut_off_discovery(world)
         successor = await world.add(Switch("s-1", 1))
         switch.proxy.target = successor.port
         if away_s:
             await switch.proxy.set_fault(Fault.SILENT)
-            began = asyncio.get_running_loop().time()
+            failed_at = asyncio.get_running_loop().time()
             await asyncio.sleep(away_s)
             await switch.proxy.set_fault(Fault.NONE)
         else:
             switch.proxy.reset_connections()
-            began = asyncio.get_running_loop().time()
-        left = began + TOLD_S - asyncio.get_running_loop().time()
-        assert set(await releases(caller, left)) == set(over)
-        (fresh,) = await standing(caller, 1, 1)
+            failed_at = asyncio.get_running_loop().time()
+        remaining_s = failed_at + TOLD_S - asyncio.get_running_loop().time()
+        assert set(await releases(caller, remaining_s)) == set(ended_calls)
+        (new_call,) = await set_up_standing(caller, 1, 1)
         assert await releases(caller, 1) == {}
-        successor.bye(fresh)
+        successor.bye(new_call)
 
 
 @program
-async def test_a_hung_switch_loses_its_calls_though_its_connections_come_up():
+async def test_a_hung_switch_loses_its_calls_although_connections_to_it_open():
     switch = Switch("s-1", 1)
     async with World(switch, proxied=True) as world:
         caller = await world.caller()
-        over = await standing(caller, 1, 3)
-        await switch.proxy.set_fault(Fault.HANG)  # discovery is there, and sees a process that runs
-        assert set(await releases(caller, TOLD_S)) == set(over)
-        # Released at the switch too, should it ever come back.
+        ended_calls = await set_up_standing(caller, 1, 3)
+        await switch.proxy.set_fault(Fault.HANG)  # discovery is up, and sees a running process
+        assert set(await releases(caller, TOLD_S)) == set(ended_calls)
+        # The calls are released at the switch too, in case it returns.
         await switch.proxy.set_fault(Fault.NONE)
-        heard = {(await switch.next("BYE"))[1] for _ in over}
-        assert heard == set(over)
+        released_calls = {(await switch.next("BYE"))[1] for _ in ended_calls}
+        assert released_calls == set(ended_calls)
 
 
 @program
-async def test_a_reset_connection_costs_no_call_while_discovery_is_heard():
+async def test_a_reset_connection_ends_no_call_while_discovery_is_received():
     switch = Switch("s-1", 1)
     async with World(switch, proxied=True) as world:
         caller = await world.caller()
-        await asyncio.sleep(1.5)  # discovery has said that it is there
-        calls = await standing(caller, 1, 3)
+        await asyncio.sleep(1.5)  # discovery has listed the switch
+        calls = await set_up_standing(caller, 1, 3)
         switch.proxy.reset_connections()
         assert await releases(caller, QUIET_S) == {}
         for call in calls:
@@ -136,12 +138,12 @@
 
 
 @program
-async def test_a_release_into_a_silent_connection_is_heard_on_one_that_is_opened_for_it():
-    # The switch believes the silent connection to be open, and sends there what concerns its calls.
+async def test_a_release_sent_into_a_silent_connection_arrives_on_a_new_one():
+    # The switch takes the silent connection for open, and sends releases of its calls there.
     switch = Switch("s-1", 1)
     async with World(switch, proxied=True) as world:
         caller = await world.caller()
-        early, late = await standing(caller, 1, 2)
+        early, late = await set_up_standing(caller, 1, 2)
         switch.proxy.silence_connections()
         for call, seconds in ((early, 0.0), (late, 2.0)):
             await asyncio.sleep(seconds)
@@ -151,52 +153,52 @@
 
 
 @program
-async def test_calls_on_a_switch_whose_address_another_one_takes_are_over_at_once():
-    # Discovery tells of the newcomer first, and of the one that has gone much later.
+async def test_calls_end_at_once_when_another_switch_takes_the_address_of_theirs():
+    # Discovery reports the new switch first, and the removal of the old one much later.
     old = Switch("s-old", 1)
     async with World(old, proxied=True) as world:
         caller = await world.caller()
-        over = await standing(caller, 1, 2)
+        ended_calls = await set_up_standing(caller, 1, 2)
         new = await world.add(Switch("s-new", 1))
         new.proxy, old.proxy.target = old.proxy, new.port
         world.channel.event(new.entry())
-        assert set(await releases(caller, 2)) == set(over)
-        await standing(caller, 1, 1)
+        assert set(await releases(caller, 2)) == set(ended_calls)
+        await set_up_standing(caller, 1, 1)
         assert old.count("INVITE") == 2 and new.count("INVITE") == 1 and new.count("BYE") == 0
 
 
 @program
-async def test_a_late_answer_on_another_connection_does_not_end_the_newer_attempt():
-    # After a silent end two connections may be open: the late answer to an attempt that was given up comes on
-    # one, and the call stands by a newer attempt, under the same Call-ID, on the other.
+async def test_a_late_answer_on_another_connection_does_not_end_a_newer_attempt():
+    # After a connection ended in silence two may be open: the late answer to a cancelled attempt arrives on one, and
+    # the call stands by a newer attempt, under the same Call-ID, on the other.
     switch = Switch("s-1", 1, plan=["answer", "silent", "answer"])
     async with World(switch, proxied=True) as world:
         caller = await world.caller()
-        (standing_call,) = await standing(caller, 1, 1)
+        (standing_call,) = await set_up_standing(caller, 1, 1)
         call = caller.set_up(1)
         await switch.next("INVITE", call)
         first = switch.origin[call]
-        switch.proxy.silence_connections()  # the attempt is given up with its connection, and made again
+        switch.proxy.silence_connections()  # the attempt ends with its connection, and is repeated
         assert (await caller.next(call))["type"] == "answer"
         assert switch.origin[call] is not first
-        # At the start, for the attempt, and for releases that may be lost.
+        # One at the start, one for the attempt, and one for releases that may be lost.
         await world.logged("connection opened", times=3)
-        other = next(one for one in switch.writers if one not in (first, switch.origin[call]))
-        switch.send(other, "SIP/2.0 200 OK", call, "1 INVITE", body="late \r\nv=0\r\n")
+        other_writer = next(writer for writer in switch.writers if writer not in (first, switch.origin[call]))
+        switch.send(other_writer, "SIP/2.0 200 OK", call, "1 INVITE", body="late \r\nv=0\r\n")
         byes = switch.count("BYE")
         assert await releases(caller, 1) == {} and switch.count("BYE") == byes
-        for one in (call, standing_call):
-            switch.bye(one, writer=switch.origin[call])
-            assert (await caller.next(one))["type"] == "release"
+        for call_id in (call, standing_call):
+            switch.bye(call_id, writer=switch.origin[call])
+            assert (await caller.next(call_id))["type"] == "release"
 
 
 @program
-async def test_a_release_into_an_idle_silent_connection_is_heard_while_its_call_is_adrift():
-    # The call's own connection has gone, so the switch chooses any: here one that carries nothing and is silent.
+async def test_a_release_sent_into_an_idle_silent_connection_arrives_while_its_call_has_no_connection():
+    # The call's own connection is lost, so the switch chooses any: here one that is idle and silent.
     switch = Switch("s-1", 1)
     async with World(switch, proxied=True) as world:
         caller = await world.caller()
-        (call,) = await standing(caller, 1, 1)
+        (call,) = await set_up_standing(caller, 1, 1)
         switch.proxy.silence_connections()
         await world.logged("connection opened", times=3)
         for number in (1, 2):
--- a/tests/test_syslog.py
+++ b/tests/test_syslog.py
@@ -1,14 +1,14 @@
-"""Log lines follow RFC 5424, are limited in rate, and go to a collector where the operator names one."""
+"""Log lines follow RFC 5424, are limited in rate, and are sent to a collector if the operator names one."""
 
 import asyncio
 import re
 import socket
 
-from tansyspur.syslog import BURST, Syslog
+from tansyspur.syslog import BURST_LINES, Syslog
 from tests.test_program import program
 from tests.world import LONG, Switch, World
 
-LINE = re.compile(
+LOG_LINE = re.compile(
     r"<(\d{1,3})>1 \d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z [!-~]{1,255} tansyspur \d+ [!-~]{1,32} "
     r'(-|\[call@32473( [!#-<>-\\^-~]{1,32}="([^"\\\]]|\\["\\\]])*")*\]) (.*)'
 )
@@ -18,20 +18,22 @@
     log = Syslog("host name\n", "debug")
     log("warning", "a b", "text\nwith ends", value='q"b\\s]e\nx', empty="")
     line = capsys.readouterr().err
-    assert line.count("\n") == 1 and LINE.fullmatch(line.rstrip("\n")) and line.startswith("<132>1 ")
+    assert line.count("\n") == 1 and LOG_LINE.fullmatch(line.rstrip("\n")) and line.startswith("<132>1 ")
     assert r'value="q\"b\\s\]e?x"' in line and "empty" not in line and " hostname " in line
 
 
 def test_beyond_the_burst_lines_are_dropped_and_counted(capsys):
     log = Syslog("h")
-    for _ in range(int(BURST) * 2):
+    for _ in range(int(BURST_LINES) * 2):
         log("info", "x", "y")
     log("debug", "x", "below the threshold")
     log.close()
     lines = capsys.readouterr().err.splitlines()
     dropped = sum(int(re.search(r"(\d+) lines were dropped", line)[1]) for line in lines if "dropped" in line)
     kept = sum(line.endswith(" y") for line in lines)
-    assert dropped > 0 and kept + dropped == BURST * 2 and all(LINE.fullmatch(line) for line in lines)
+    assert (
+        dropped > 0 and kept + dropped == BURST_LINES * 2 and all(LOG_LINE.fullmatch(line) for line in lines)
+    )
 
 
 @program
@@ -48,6 +50,6 @@
                 text = ""
                 while f'call="{call}"' not in text:
                     text = (await asyncio.get_running_loop().sock_recv(collector, 4096)).decode()
-                    assert LINE.fullmatch(text)
+                    assert LOG_LINE.fullmatch(text)
             assert text.endswith("] stands")
-            await world.logged(re.escape(text))  # the same line, by the other way
+            await world.logged(re.escape(text))  # the same line on standard error
