--- a/tansyspur/net/console.py
+++ b/tansyspur/net/console.py
@@ -1,4 +1,4 @@
-"""The operators' console: one line in, one answer out, on a connection of its own."""
+"""The operators' console over TCP: one command line in, one response out, on a connection of its own."""
 
 import asyncio
 import contextlib
@@ -9,25 +9,25 @@
 from tansyspur.core.metrics import Delivery
 from tansyspur.core.ports import EndReason
 
-LONGEST_CALL = 256
-CALL_S = 5.0  # some connect and say nothing
-ANSWER_S = 2.0
-REST_S, MOST_REST = 0.5, 1 << 16  # of a line that is too long
-MOST_CALLERS = 32
-RETRY_S = 0.25
+MAX_COMMAND_BYTES = 256
+COMMAND_TIMEOUT_S = 5.0  # clients that connect and send nothing are closed
+RESPONSE_TIMEOUT_S = 2.0
+DISCARD_TIMEOUT_S, MAX_DISCARD_BYTES = 0.5, 1 << 16  # for the rest of a line that is too long
+MAX_WAITING_CLIENTS = 32
+LISTEN_RETRY_S = 0.25
 PREFIX = "gatekeeper"
-NO_NAME = re.compile(r"[:|@#,;\s]")  # what would end a name, or a line
+NAME_DELIMITERS = re.compile(r"[:|@#,;\s]")  # characters that would end a metric name or a line
 
 Log = Callable[..., None]
 
 
 def statsd(gatekeeper: Gatekeeper) -> list[str]:
-    """The figures of this moment as statsd lines: counters (c) since the start, and gauges (g)."""
+    """Return the current metrics as statsd lines: counters (c) since the start, and gauges (g)."""
     metrics = gatekeeper.metrics
     counters: dict[str, int] = {}
     for verdict, counts in metrics.verdicts.items():
         for class_name, count in counts.items():
-            counters[f"{verdict.value}.{NO_NAME.sub('_', class_name)}"] = count
+            counters[f"{verdict.value}.{NAME_DELIMITERS.sub('_', class_name)}"] = count
     counters["backend_calls"] = metrics.attempts
     counters["reconfig_ok"], counters["reconfig_failed"] = metrics.reloads, metrics.rejected_reloads
     for reason in EndReason:
@@ -48,11 +48,13 @@
 
 
 class Console:
+    """Serves the commands STATUS, METRICS, PAUSE and RESUME; each connection brings one."""
+
     def __init__(self, gatekeeper: Gatekeeper, log: Log) -> None:
         self.gatekeeper, self.log = gatekeeper, log
-        self.callers: dict[asyncio.StreamWriter, None] = {}  # that have not called yet, oldest first
+        self.waiting_clients: dict[asyncio.StreamWriter, None] = {}  # no command received yet, oldest first
         self.server: asyncio.Server | None = None
-        self.calls = {
+        self.commands = {
             "STATUS": self._status,
             "METRICS": self._metrics,
             "PAUSE": self._pause,
@@ -60,13 +62,18 @@
         }
 
     async def open(self, host: str, port: int) -> None:
-        """Guards against ending the process because the one it replaces still holds the address."""
+        """Listen on the address, and retry while it is in use.
+
+        A process that is being replaced may still hold it, which must not end this one.
+        """
         while True:
             try:
-                self.server = await asyncio.start_server(self._called, host, port, limit=LONGEST_CALL)
+                self.server = await asyncio.start_server(
+                    self._on_connection, host, port, limit=MAX_COMMAND_BYTES
+                )
             except OSError as error:
-                self.log("warning", "console", f"cannot listen, will try again: {error}")
-                await asyncio.sleep(RETRY_S)
+                self.log("warning", "console", f"cannot listen; retrying: {error}")
+                await asyncio.sleep(LISTEN_RETRY_S)
                 continue
             return self.log("notice", "console", "listening", address=f"{host}:{port}")
 
@@ -74,41 +81,46 @@
         if self.server:
             self.server.close()
 
-    async def _called(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.callers) >= MOST_CALLERS:
-            # Guards against a crowd of silent callers: the one that has said nothing for longest goes.
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self.waiting_clients) >= MAX_WAITING_CLIENTS:
+            # Clients that send nothing must not keep others out: the one that has waited for longest is closed.
+            oldest = next(iter(self.waiting_clients))
+            del self.waiting_clients[oldest]
             oldest.transport.abort()
-        self.callers[writer] = None
+        self.waiting_clients[writer] = None
         with contextlib.suppress(OSError, TimeoutError):
             try:
-                async with asyncio.timeout(CALL_S):
+                async with asyncio.timeout(COMMAND_TIMEOUT_S):
                     line = await reader.readuntil(b"\n")
-            except asyncio.IncompleteReadError as cut:
-                line = cut.partial  # a last line without its end
+            except asyncio.IncompleteReadError as error:
+                line = error.partial  # a last line without a line end
             except asyncio.LimitOverrunError:
                 line = b"?"
-                await self._read_away(reader)
+                await self._discard_rest_of_line(reader)
             finally:
-                self.callers.pop(writer, None)
+                self.waiting_clients.pop(writer, None)
             if line:
-                writer.write(self.answer(line.decode("ascii", "replace").strip()).encode())
-                async with asyncio.timeout(ANSWER_S):
+                writer.write(self.respond(line.decode("ascii", "replace").strip()).encode())
+                async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                     await writer.drain()
         writer.close()
 
-    async def _read_away(self, reader: asyncio.StreamReader) -> None:
-        """Guards against closing on what is unread: the reset that follows would overtake the answer."""
-        left = MOST_REST
+    async def _discard_rest_of_line(self, reader: asyncio.StreamReader) -> None:
+        """Read and discard the rest of a line: a close with unread bytes causes a reset that overtakes the response."""
+        remaining_bytes = MAX_DISCARD_BYTES
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(REST_S):
-                while left > 0 and (piece := await reader.read(left)) and b"\n" not in piece:
-                    left -= len(piece)
-
-    def answer(self, call: str) -> str:
-        known = self.calls.get(call.upper())
-        return known() if known else f"-ERR unknown call; there are {', '.join(self.calls)}\n"
+            async with asyncio.timeout(DISCARD_TIMEOUT_S):
+                while (
+                    remaining_bytes > 0
+                    and (chunk := await reader.read(remaining_bytes))
+                    and b"\n" not in chunk
+                ):
+                    remaining_bytes -= len(chunk)
+
+    def respond(self, command: str) -> str:
+        """Return the response to a command, in upper or lower case."""
+        handler = self.commands.get(command.upper())
+        return handler() if handler else f"-ERR unknown call; there are {', '.join(self.commands)}\n"
 
     def _status(self) -> str:
         state = self.gatekeeper.service_state
