--- a/tansyspur/config.py
+++ b/tansyspur/config.py
@@ -41,12 +41,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
+    """Resources that the process may use: memory in megabytes, and open sockets."""
+
     memory_mb: int = 192
     sockets: int = 1024
 
 
 @dataclass(slots=True, frozen=True)
 class SyslogConfig:
+    """Lowest level that is logged, and the collector to which log lines are sent by UDP."""
+
     level: str = "info"
     udp_address: tuple[str, int] | None = None
 
@@ -63,6 +67,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Iax2Config:
+    """The IAX2 front: numbers, peers, switches by name, and registrations."""
+
     listen: tuple[str, int]
     username: str
     numbers: tuple[NumberRoute, ...]
@@ -75,6 +81,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The complete configuration of the process; addresses are (host, port) or HOST:PORT."""
+
     name: str
     listen: tuple[str, int]
     settings: interface.Settings
@@ -94,6 +102,7 @@
 
     @property
     def max_deadline_s(self) -> float:
+        """The longest deadline of any class, in seconds."""
         return max(call_class.deadline_ns for call_class in self.settings.classes) / 1e9
 
 
--- a/tansyspur/net/channel.py
+++ b/tansyspur/net/channel.py
@@ -13,9 +13,8 @@
 from tansyspur.net.link import Link
 from tansyspur.net.peers import parse_address
 
-SILENCE_TIMEOUT_S = (
-    2.5  # a cursor arrives each second; events of a longer silence must be known 4 s after its end
-)
+# A cursor arrives each second. Events sent during a longer silence must be known 4 s after its end.
+SILENCE_TIMEOUT_S = 2.5
 MAX_EVENT_BYTES = 256 * 1024  # a complete list is one event, and may be longer than other messages
 DIAL_TIMEOUT_S = 1.0
 RECONNECT_DELAY_S = 0.25
@@ -145,7 +144,7 @@
     def _check_gap(self, cursor: int) -> None:
         """Raise ConnectionError if events up to cursor are missing, so that a reconnect requests them.
 
-        Each gap is requested once only: a channel that does not have the event must not be asked for it for ever.
+        Each gap is requested once only: a channel that does not have the event must not be asked again and again.
         """
         if cursor > self.cursor and self.requested_after != self.cursor:
             self.requested_after = self.cursor
--- a/tansyspur/net/jsonlines.py
+++ b/tansyspur/net/jsonlines.py
@@ -117,16 +117,16 @@
         return not self.link.closed
 
     def refuse(self, cause: int, retry_after_ms: int) -> None:
-        self._final(
+        self._send_final(
             format_line(
                 "release", self.wire_id, {"wait": str(retry_after_ms)} if retry_after_ms else {}, cause=cause
             )
         )
 
     def fail(self, cause: int) -> None:
-        self._final(format_line("release", self.wire_id, cause=cause))
+        self._send_final(format_line("release", self.wire_id, cause=cause))
 
-    def _final(self, message: bytes) -> None:
+    def _send_final(self, message: bytes) -> None:
         if self.front.forget(self):
             self.link.write(message)
 
@@ -197,7 +197,7 @@
         # longer: listen() sets its length before anything else runs.
         asyncio.get_running_loop().call_soon(self.listening.listen, BACKLOG)
         self.server = await asyncio.start_server(
-            self._accepted, sock=self.listening.dup(), backlog=MAX_ACCEPTED_AT_ONCE
+            self._on_connection, sock=self.listening.dup(), backlog=MAX_ACCEPTED_AT_ONCE
         )
 
     def stop_accepting(self) -> None:
@@ -208,7 +208,7 @@
     def set_connection_limit(self, max_links: int) -> None:
         """Allow at most max_links connections, and close the least useful ones in excess."""
         self.max_links = max_links
-        while len(self.links) > max_links and self._make_room():
+        while len(self.links) > max_links and self._close_least_useful_link():
             pass
 
     # Diverting callers
@@ -232,10 +232,10 @@
 
         Connections that are never without an open set-up cannot be closed while idle, so their set-ups are failed.
         """
-        busy = {leg.link for leg in self.legs.values() if not leg.standing}
+        busy_links = {leg.link for leg in self.legs.values() if not leg.standing}
         kept_links = self._links_to_keep()
         for link in list(self.links):
-            if link in busy and not link.closed:
+            if link in busy_links and not link.closed:
                 self._fail_open_set_ups(link, "callers are diverted")
             if link not in kept_links:
                 link.start_graceful_close()
@@ -253,17 +253,20 @@
         """
         loop = asyncio.get_running_loop()
         self.keep_standing_links = keep_standing_links
-        busy, kept_links = {leg.link for leg in self.legs.values() if not leg.standing}, self._links_to_keep()
-        callers = [link for link in self.links if link in self.caller_links and not link.closed]
-        if self.kept_link not in callers:
-            self.kept_link = callers[0] if callers else None
+        busy_links, kept_links = (
+            {leg.link for leg in self.legs.values() if not leg.standing},
+            self._links_to_keep(),
+        )
+        open_caller_links = [link for link in self.links if link in self.caller_links and not link.closed]
+        if self.kept_link not in open_caller_links:
+            self.kept_link = open_caller_links[0] if open_caller_links else None
         has_lost_links = any(leg.standing and leg.link.closed for leg in self.legs.values())
         if has_lost_links and self.kept_link and loop.time() < self.keep_until:
             kept_links.add(self.kept_link)
         for link in list(self.links):
             # A new connection may still bring its first set-up, or a ping of the front.
             is_new = loop.time() - link.opened_at < NEW_CONNECTION_GRACE_S
-            if link not in busy and not is_new and link not in kept_links:
+            if link not in busy_links and not is_new and link not in kept_links:
                 # In the next turn of the loop, when the bytes that have been read are processed.
                 loop.call_soon(self._close_if_idle, link)
         self.idle_check_timer = loop.call_later(
@@ -369,8 +372,8 @@
                 self.unconfirmed[wire_id] = (now, link, release.message)
                 self._note_delivery(Delivery.DELIVERED_LATE, wire_id, link, now - release.created_at)
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.links) >= self.max_links and not self._make_room():
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self.links) >= self.max_links and not self._close_least_useful_link():
             self.log("warning", "front", "connection limit reached; closing a new connection")
             writer.transport.abort()
             return
@@ -437,13 +440,13 @@
             leg.call.fail() if leg.call else leg.fail(TEMPORARY_FAILURE)
         return bool(open_legs)
 
-    def _make_room(self) -> bool:
+    def _close_least_useful_link(self) -> bool:
         """Close the least useful connection without open set-ups; returns False if there is none.
 
         A connection that has brought no call goes first, then the one that was silent for longest.
         """
         now = next(iter(self.links)).loop.time()
-        busy = {leg.link for leg in self.legs.values() if not leg.standing}
+        busy_links = {leg.link for leg in self.legs.values() if not leg.standing}
 
         def usefulness(link: Link) -> tuple[bool, float]:
             return (
@@ -451,13 +454,15 @@
                 link.received_at,
             )
 
-        idle = min(
-            (candidate for candidate in self.links if candidate not in busy), key=usefulness, default=None
+        idle_link = min(
+            (candidate for candidate in self.links if candidate not in busy_links),
+            key=usefulness,
+            default=None,
         )
-        if idle:
-            idle.abort()
-            self.links.discard(idle)
-        return idle is not None
+        if idle_link:
+            idle_link.abort()
+            self.links.discard(idle_link)
+        return idle_link is not None
 
     def forget(self, leg: JsonLeg) -> bool:
         """Remove an ended call; returns False if it was removed before."""
@@ -481,9 +486,9 @@
             raise FramingError("message without a valid id")
         message_type, wire_id = row.get("type"), row["id"]
         if message_type == "setup":
-            self._set_up(link, row)
+            self._on_set_up(link, row)
         elif message_type == "release":
-            self._release(link, row)
+            self._on_release(link, row)
         elif message_type == "ping":
             # A ping gets its pong only, without pending releases: to the platform's front anything but a pong is a
             # negative answer, and the callers that need the releases would never come back.
@@ -495,9 +500,10 @@
         elif message_type != "progress":
             raise FramingError("message of unknown type")
 
-    def _set_up(self, link: Link, row: dict[str, Any]) -> None:
+    def _on_set_up(self, link: Link, row: dict[str, Any]) -> None:
         wire_id = row["id"]
-        # Two calls with one id cannot be told apart: the first one keeps it, the second one's connection is closed.
+        # Without this, two calls could be answered under one id. The first call keeps it; the connection that brought
+        # the second one is closed.
         if wire_id in self.legs or wire_id in self.ended_ids or not CALL_ID.fullmatch(wire_id):
             raise FramingError("set-up with an id that is in use or malformed")
         try:
@@ -521,7 +527,7 @@
             return self.gatekeeper.reject(offer, leg)
         leg.call = self.gatekeeper.offer(offer, leg)
 
-    def _release(self, link: Link, row: dict[str, Any]) -> None:
+    def _on_release(self, link: Link, row: dict[str, Any]) -> None:
         leg = self.legs.get(row["id"])
         if leg is None:
             # A release that crossed ours is confirmed; one of a call that never existed gets an error.
--- a/tansyspur/net/sip.py
+++ b/tansyspur/net/sip.py
@@ -1,4 +1,4 @@
-"""Carrier switches over SIP: the subset of RFC 3261 that PROTOCOL names, on at most four TCP connections to each.
+"""Carrier switches over SIP: the subset of RFC 3261 that PROTOCOL names, on up to four TCP connections to each.
 
 SipSwitch keeps at least one usable connection to a switch, detects silent ones by OPTIONS pings, and cuts standing
 calls whose lease has expired. SipLeg is one attempt and the call that results from it.
@@ -18,7 +18,13 @@
 from tansyspur.net.framing import Chunks, FramingError
 from tansyspur.net.link import Link
 from tansyspur.net.releases import PendingReleases
-from tansyspur.net.sip_messages import Message, answer_description, format_request, parse, parse_group
+from tansyspur.net.sip_messages import (
+    Message,
+    answer_description,
+    format_request,
+    parse_group_header,
+    parse_message,
+)
 
 INVITE_CSEQ = 1
 ABORT_WAIT_S = 0.02  # lets the event loop close an aborted connection
@@ -104,7 +110,7 @@
         invite = format_request("INVITE", offer.called_number, self.call_id, INVITE_CSEQ, *headers, body=body)
         link.write(invite, self.on_written)
 
-    def no_route(self) -> None:
+    def fail_no_route(self) -> None:
         self.switch.forget(self)
         self.notify(LegEnded(interface.Outcome.NO_ROUTE, reason=EndReason.NO_CONNECTION))
 
@@ -164,7 +170,7 @@
         self.loop = asyncio.get_running_loop()
         self.links: list[Link] = []
         self.legs: dict[str, SipLeg] = {}  # waiting, sent or standing, by Call-ID
-        self.waiting: list[SipLeg] = []
+        self.waiting_legs: list[SipLeg] = []
         self.pending_releases = PendingReleases()
         self.closed_as_silent: set[Link] = set()  # aborted as silent, and not removed from links yet
         self.handled_suspects: set[Link] = set()  # suspect connections that have led to a new one
@@ -205,8 +211,8 @@
         if link:
             leg.send(link)
         else:
-            self.waiting.append(leg)
-            leg.dial_timer = self.loop.call_later(self.dial_timeout_s, leg.no_route)
+            self.waiting_legs.append(leg)
+            leg.dial_timer = self.loop.call_later(self.dial_timeout_s, leg.fail_no_route)
             self.wake_event.set()
         return leg
 
@@ -232,7 +238,7 @@
         for link in list(self.links):
             if link.unsent:
                 link.abort()
-        for leg in self.waiting[:]:
+        for leg in self.waiting_legs[:]:
             self.forget(leg)
             leg.notify(LegEnded(interface.Outcome.NOT_SENT, reason=EndReason.HELD_BACK))
 
@@ -361,8 +367,8 @@
         """Whether a release may have been lost, which the switch sends again only on a new connection."""
         if self.releases_uncertain_since is not None:
             return True
-        due = self.loop.time() - self.last_connected_at > NEW_CONNECTION_INTERVAL_S
-        return due and self.leases.needs_new_connection()
+        is_due = self.loop.time() - self.last_connected_at > NEW_CONNECTION_INTERVAL_S
+        return is_due and self.leases.needs_new_connection()
 
     def _max_reconnect_s(self) -> float:
         """The longest delay between connection attempts.
@@ -406,7 +412,7 @@
             self._check_links()
             self._report_reachability()
             wait_s = CHECK_INTERVAL_S
-            urgent = self._usable_link() is None or bool(self.waiting)
+            urgent = self._usable_link() is None or bool(self.waiting_legs)
             if urgent or (self._needs_new_connection() and self.loop.time() >= next_new_connection_at):
                 connected = await self._dial()
                 reconnect_s = (
@@ -429,9 +435,9 @@
     async def _dial(self) -> bool:
         """Open one more connection, and send the waiting set-ups on it.
 
-        Returns whether it was opened. If the connection is refused, the waiting attempts end with NO_ROUTE at once;
-        on a timeout each of them ends by its own timer. At MAX_CONNECTIONS the least useful connection is closed
-        first.
+        Returns whether it was opened. If the dial fails with an error, the waiting attempts end with NO_ROUTE at once;
+        on a timeout each of them ends by its own timer. If the switch refuses it while no other connection is open, all
+        attempts and calls end. At MAX_CONNECTIONS the least useful connection is closed first.
         """
         if len(self.links) >= MAX_CONNECTIONS:
             used_links = {leg.link for leg in self.legs.values()}
@@ -447,8 +453,8 @@
         except OSError as error:
             if isinstance(error, ConnectionRefusedError) and not any(not link.closed for link in self.links):
                 self._end_all_legs(EndReason.CONNECTION_REFUSED)
-            for leg in self.waiting[:]:
-                leg.no_route()
+            for leg in self.waiting_legs[:]:
+                leg.fail_no_route()
             return False
         link = Link(reader, writer)
         self.links.append(link)
@@ -462,8 +468,8 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         self._send_pending_releases()
-        waiting, self.waiting = self.waiting, []
-        for leg in waiting:
+        waiting_legs, self.waiting_legs = self.waiting_legs, []
+        for leg in waiting_legs:
             leg.send(link)
         return True
 
@@ -475,7 +481,7 @@
             self.leases.received(link, link.received_at)
             self.pending_releases.confirm(link)
             any_taken = False
-            while not link.closed and (message := parse(chunks)):
+            while not link.closed and (message := parse_message(chunks)):
                 self._on_message(link, message)
                 any_taken = True
             return any_taken
@@ -506,15 +512,15 @@
             if any(leg.standing and (leg.link is link or leg.setup_link_lost) for leg in self.legs.values()):
                 self.releases_uncertain_since = self.loop.time()
             # Set-ups without a response end with their connection.
-            cut = [leg for leg in self.legs.values() if leg.link is link and not leg.standing]
-            for leg in cut:
+            cut_legs = [leg for leg in self.legs.values() if leg.link is link and not leg.standing]
+            for leg in cut_legs:
                 self.forget(leg)
             if error_text:
                 self.log(
                     "warning", "sip", f"connection dropped: {error_text}", switch=self.name, link=link.number,
-                    cut=len(cut),
+                    cut=len(cut_legs),
                 )  # fmt: skip
-            for leg in cut:
+            for leg in cut_legs:
                 # The answer may be among the lost bytes. Without the BYE the call would stand without a caller.
                 if not self.retired:
                     self.send_bye(leg.call_id, NORMAL_CLEARING, None)
@@ -539,8 +545,8 @@
         if self.legs.get(leg.call_id) is leg:
             del self.legs[leg.call_id]
             self.leases.call_ended(leg.call_id)
-        if leg in self.waiting:
-            self.waiting.remove(leg)
+        if leg in self.waiting_legs:
+            self.waiting_legs.remove(leg)
 
     def send_bye(self, call_id: str, cause: int, link: Link | None) -> None:
         """Release a standing call on the connection of its set-up, or else on any other.
@@ -575,7 +581,7 @@
             return
         method = message.start_line.partition(" ")[0]
         if method == "NOTIFY":
-            report = parse_group(message.headers.get("x-group", ""))
+            report = parse_group_header(message.headers.get("x-group", ""))
             if report:
                 self.on_report(report)
         elif method == "BYE":
@@ -600,7 +606,7 @@
         if method == "OPTIONS":
             outcome = interface.Outcome.ENDED if status < 300 else interface.Outcome.NO_ROOM
             return self._finish_probe(
-                message.call_id, outcome, parse_group(message.headers.get("x-group", ""))
+                message.call_id, outcome, parse_group_header(message.headers.get("x-group", ""))
             )
         if method != "INVITE":
             return
@@ -615,7 +621,7 @@
         )
         link.write(format_request("ACK", message.call_id, message.call_id, INVITE_CSEQ))
         # An answer counts only on the connection of its set-up: switches match by Call-ID and method and answer every
-        # set-up with CSeq 1, so the number does not tell a late answer from that to a second attempt.
+        # set-up with CSeq 1, so the number does not distinguish a late answer from one to a second attempt.
         if leg is None or leg.link is not link:
             # No BYE while a newer attempt is open here: the switch knows both by the same Call-ID and would end it.
             if status < 300 and leg is None:
@@ -632,7 +638,7 @@
         self.forget(leg)
         outcome = OUTCOME_BY_STATUS.get(status, interface.Outcome.FAULT)
         cause = CAUSE_BY_NAME.get(message.headers.get("x-cause", ""))
-        report = parse_group(message.headers.get("x-group", ""))
+        report = parse_group_header(message.headers.get("x-group", ""))
         leg.notify(LegEnded(outcome, cause, report, EndReason.SWITCH_REFUSED))
 
     def _on_bye(self, link: Link, message: Message) -> None:
@@ -645,7 +651,7 @@
         self.forget(leg)
         cause_match = re.search(r"cause\s*=\s*([0-9]{1,3})", message.headers.get("reason", ""))
         cut = cause_match is not None and int(cause_match.group(1)) != 16
-        report = parse_group(message.headers.get("x-group", ""))
+        report = parse_group_header(message.headers.get("x-group", ""))
         outcome = interface.Outcome.CUT if cut else interface.Outcome.ENDED
         reason = EndReason.SWITCH_CUT if cut else EndReason.SWITCH_RELEASED
         leg.notify(LegEnded(outcome, None, report, reason))
--- a/tansyspur/net/sip_messages.py
+++ b/tansyspur/net/sip_messages.py
@@ -35,7 +35,7 @@
         return self.headers.get("call-id", "")
 
 
-def parse(chunks: Chunks) -> Message | None:
+def parse_message(chunks: Chunks) -> Message | None:
     """Consume and return the next complete message; None if it has not arrived.
 
     Raises FramingError at the first byte that cannot belong to a message: after it the start of the next message is
@@ -64,7 +64,7 @@
         name = name.strip().lower()
         name = COMPACT_HEADER_NAMES.get(name, name)
         if name in headers and name in SINGLE_HEADERS:
-            raise FramingError(f"SIP message with more than one {name}")  # no rule says which one is valid
+            raise FramingError(f"SIP message with more than one {name}")  # which one is valid is not defined
         headers[name] = value.strip()
     length = headers.get("content-length", "")
     if not re.fullmatch(r"[0-9]{1,9}", length):
@@ -77,7 +77,7 @@
     return Message(start_line, headers, chunks.take(total_bytes)[head_bytes + 4 :])
 
 
-def parse_group(text: str) -> interface.LoadReport | None:
+def parse_group_header(text: str) -> interface.LoadReport | None:
     """Parse a load report such as 'x0:12;x1:40;queue:3'; the settings name its keys. None if it has no values."""
     values: dict[str, float] = {}
     for pair in text.split(";"):
