--- a/tansyspur/cdr/__init__.py
+++ b/tansyspur/cdr/__init__.py
@@ -1,1 +1,1 @@
-"""Call detail records: one complete line for each call, numbered, so that a missing record is noticed."""
+"""Call detail records: one line for each ended call, numbered without gaps, so that a missing record is noticed."""
--- a/tansyspur/cdr/export.py
+++ b/tansyspur/cdr/export.py
@@ -1,4 +1,8 @@
-"""Call detail records to a file, off the calls' way: a full or slow disk drops records, and counts them."""
+"""Writes call detail records to a file without delaying calls.
+
+Records are queued in memory and written by a worker thread every FLUSH_S. If the disk is full or too slow, records
+are dropped and counted instead of holding up the event loop.
+"""
 
 import asyncio
 import os
@@ -8,21 +12,25 @@
 from tansyspur.cdr.record import CallRecord, format_count, format_record
 
 FLUSH_S = 0.25
-COUNT_S = 10.0
-MOST_WAITING = 20_000  # records: some 6 MB
+COUNT_INTERVAL_S = 10.0
+MAX_QUEUED_RECORDS = 20_000  # some 6 MB
 
 Log = Callable[..., None]
 
 
 class CdrFile:
-    """Appends to a file from a thread of the library's; the calls only ever append to a list."""
+    """An append-only file of call detail records.
+
+    Calling the object queues a record; it never blocks. A background task, started by `start`, hands the queue to a
+    worker thread of asyncio for writing. Raises OSError if the file cannot be opened.
+    """
 
-    def __init__(self, path: str, host: str, log: Log, most_waiting: int = MOST_WAITING) -> None:
-        self.path, self.host, self.log, self.most_waiting = path, host, log, most_waiting
+    def __init__(self, path: str, host: str, log: Log, max_queued: int = MAX_QUEUED_RECORDS) -> None:
+        self.path, self.host, self.log, self.max_queued = path, host, log, max_queued
         self.process = os.getpid()
-        self.waiting: list[str] = []
-        self.sequence = self.dropped = self.told_dropped = 0
-        self.told_at = 0.0
+        self.queue: list[str] = []
+        self.sequence = self.dropped = self.logged_dropped = 0
+        self.last_count_at = 0.0
         self.file = self._open()
         self.task: asyncio.Task[None] | None = None
 
@@ -33,11 +41,12 @@
         self.task = asyncio.get_running_loop().create_task(self._run(), name="call detail records")
 
     def __call__(self, record: CallRecord) -> None:
+        """Queues a record. If the queue is full, the record is dropped; it still uses up a sequence number."""
         self.sequence += 1
-        if len(self.waiting) >= self.most_waiting:
+        if len(self.queue) >= self.max_queued:
             self.dropped += 1
             return
-        self.waiting.append(format_record(record, self.sequence, time.time(), self.host, self.process))
+        self.queue.append(format_record(record, self.sequence, time.time(), self.host, self.process))
 
     async def _run(self) -> None:
         while True:
@@ -46,21 +55,26 @@
 
     async def _flush(self, last: bool = False) -> None:
         now = time.monotonic()
-        lines, self.waiting = self.waiting, []
-        if last or now - self.told_at >= COUNT_S:
-            self.told_at = now
+        lines, self.queue = self.queue, []
+        if last or now - self.last_count_at >= COUNT_INTERVAL_S:
+            self.last_count_at = now
             lines.append(format_count(self.sequence, self.dropped, time.time(), self.host, self.process))
         if not lines:
             return
         try:
             await asyncio.to_thread(self._write, ("\n".join(lines) + "\n").encode())
         except OSError as error:
-            # What may have been written in part is not written again: a reader drops a spoilt line, and
-            # counts a missing number, but would take a second copy for a second call.
+            # The write may have succeeded in part, so it is not retried: a reader skips a truncated line and notices
+            # a missing sequence number, but would count a second copy of a record as a second call.
             self.dropped += sum(1 for line in lines if " cdr [" in line)
-            self.log("error", "cdr", f"{self.path}: {error.strerror}", dropped=self.dropped)
-        if self.dropped != self.told_dropped:
-            self.told_dropped = self.dropped
+            self.log(
+                "error",
+                "cdr",
+                f"cannot write to {self.path}: {error.strerror}; the records of this write are dropped",
+                dropped=self.dropped,
+            )
+        if self.dropped != self.logged_dropped:
+            self.logged_dropped = self.dropped
             self.log("warning", "cdr", "call detail records were dropped", dropped=self.dropped)
 
     def _write(self, data: bytes) -> None:
@@ -69,15 +83,21 @@
             view = view[os.write(self.file, view) :]
 
     def reopen(self) -> None:
-        """At SIGHUP, after a rotation: what is written from now on goes to a file of the name."""
+        """Opens the path anew, after SIGHUP: once the file has been rotated, later records go to the new file.
+
+        If that fails, the error is logged and the file that is already open stays in use.
+        """
         try:
-            fresh = self._open()
+            new_file = self._open()
         except OSError as error:
-            return self.log("error", "cdr", f"{self.path}: {error.strerror}; the open file stays in use")
-        os.dup2(fresh, self.file)
-        os.close(fresh)
+            return self.log(
+                "error", "cdr", f"cannot reopen {self.path}: {error.strerror}; the open file stays in use"
+            )
+        os.dup2(new_file, self.file)
+        os.close(new_file)
 
     async def close(self) -> None:
+        """Stops the background task, writes the queued records and a last count, and closes the file."""
         if self.task:
             self.task.cancel()
             await asyncio.wait([self.task])
