--- a/tansyspur/records/__init__.py
+++ b/tansyspur/records/__init__.py
@@ -1,4 +1,4 @@
-"""Typed records: fleets and loads in a CUE-like language, checked against the schemas of the package."""
+"""Typed records: fleets and loads in a CUE-like language, validated against schemas that ship with the package."""
 
 from tansyspur.records.evaluate import Problem, RecordError, load, loads, schemas
 
--- a/tansyspur/records/evaluate.py
+++ b/tansyspur/records/evaluate.py
@@ -1,7 +1,8 @@
-"""Unification: a file's values against each other and against a schema. Every trouble is told, not the first.
+"""Evaluates typed records: unifies the values of a file with each other and with a schema, and yields plain data.
 
-Values only ever become narrower, so the order of unification does not matter. A reference is resolved in the
-struct that it is written in, and outwards from there; last comes the schema's file.
+Unification, as in CUE, only ever narrows a value, so its order does not matter. A reference is looked up in the struct
+that it is written in, then in the enclosing structs, and last in the schema's file. All problems of a file are
+collected and reported together, not only the first.
 """
 
 import math
@@ -15,31 +16,31 @@
 from typing import Any
 
 from tansyspur.records import syntax
-from tansyspur.records.syntax import Node, Place
+from tansyspur.records.syntax import Node, Position
 
-MOST_TROUBLES = 1000
-COMPARE = {"<": operator.lt, "<=": operator.le, ">": operator.gt, ">=": operator.ge, "!=": operator.ne}
-SUMS = {"+": operator.add, "-": operator.sub, "*": operator.mul, "/": operator.truediv}
+MAX_PROBLEMS = 1000
+COMPARISONS = {"<": operator.lt, "<=": operator.le, ">": operator.gt, ">=": operator.ge, "!=": operator.ne}
+ARITHMETIC = {"+": operator.add, "-": operator.sub, "*": operator.mul, "/": operator.truediv}
 Scalar = str | int | float | bool | None
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Problem:
-    """One thing that is wrong, where it stands, and the path of the value."""
+    """One fault of a record: its position in the file, the path of the value (such as `groups[0].ends`), and a text."""
 
-    place: Place
+    position: Position
     path: str
     text: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.path}: {self.text}" if self.path else f"{self.place}: {self.text}"
+        return f"{self.position}: {self.path}: {self.text}" if self.path else f"{self.position}: {self.text}"
 
 
 class RecordError(Exception):
-    """A record that cannot be used, with all that is wrong with it."""
+    """A record cannot be used. `problems` lists every fault, without duplicates, sorted by position."""
 
-    def __init__(self, troubles: Iterable[Problem]) -> None:
-        self.problems = sorted(set(troubles))
+    def __init__(self, problems: Iterable[Problem]) -> None:
+        self.problems = sorted(set(problems))
         super().__init__("\n".join(map(str, self.problems)))
 
 
@@ -48,297 +49,339 @@
 
 @dataclass(slots=True)
 class Value:
-    at: Place
+    position: Position
 
 
 @dataclass(slots=True)
 class Bottom(Value):
-    """No value; why has been told."""
+    """The result of a failed evaluation. Its problem has been reported already, so it causes no further ones."""
 
 
 @dataclass(slots=True)
-class Known(Value):
+class Concrete(Value):
+    """A single value. `dimension` is "time" (value in seconds), "load" (in erlang), or "" for none."""
+
     value: Scalar
     dimension: str = ""
 
 
 @dataclass(slots=True)
-class Kind(Value):
-    """Anything of a type, within limits; `any` is everything."""
+class Constraint(Value):
+    """Any value of a type that is within all bounds, each an operator and its operand. The type `any` takes all."""
 
-    name: str
-    limits: tuple[tuple[str, Scalar], ...] = ()
+    type_name: str
+    bounds: tuple[tuple[str, Scalar], ...] = ()
 
 
 @dataclass(slots=True)
-class Choice(Value):
-    parts: list[tuple[bool, Value]]
+class Disjunction(Value):
+    """One of several alternatives, each with whether it is marked as the default."""
+
+    alternatives: list[tuple[bool, Value]]
 
 
 @dataclass(slots=True)
-class Slot:
+class FieldValue:
     value: Value
     optional: bool
-    at: Place
+    position: Position
 
 
 @dataclass(slots=True)
-class Record(Value):
-    slots: dict[str, Slot] = field(default_factory=dict)
+class StructValue(Value):
+    """Fields by name. A pattern constrains the value of each field whose name it matches.
+
+    A closed struct admits no further fields, other than those that one of its patterns matches.
+    """
+
+    fields: dict[str, FieldValue] = field(default_factory=dict)
     patterns: list[tuple[Value, Value]] = field(default_factory=list)
     closed: bool = False
 
 
 @dataclass(slots=True)
-class Sequence(Value):
+class ListValue(Value):
     items: list[Value]
-    rest: Value | None = None  # what further items must be; None: there are none
+    rest: Value | None = None  # constraint on further items; None if there may be none
 
 
-# What a type takes: of the Python value, and of its dimension
-TYPES = {
+# Whether a type admits a Python value with its dimension
+TYPE_CHECKS = {
     "string": lambda value, dimension: isinstance(value, str),
     "bool": lambda value, dimension: isinstance(value, bool),
     "null": lambda value, dimension: value is None,
-    "int": lambda value, dimension: _number(value) and not dimension and float(value).is_integer(),
-    "number": lambda value, dimension: _number(value) and not dimension,
-    "time": lambda value, dimension: _number(value) and dimension in ("", "time"),
-    "load": lambda value, dimension: _number(value) and dimension in ("", "load"),
+    "int": lambda value, dimension: _is_number(value) and not dimension and float(value).is_integer(),
+    "number": lambda value, dimension: _is_number(value) and not dimension,
+    "time": lambda value, dimension: _is_number(value) and dimension in ("", "time"),
+    "load": lambda value, dimension: _is_number(value) and dimension in ("", "load"),
     "any": lambda value, dimension: True,
 }
-NAMES = {"_": "any", "float": "number", **{name: name for name in TYPES if name != "any"}}
-WITHIN = {("int", "number"), ("int", "time"), ("int", "load"), ("number", "time"), ("number", "load")}
-ARTICLE = {"int": "a whole number", "number": "a number", "time": "a time", "load": "a load in erlang",
-           "string": "a string", "bool": "true or false", "null": "null", "any": "anything"}  # fmt: skip
+# The types by the names that records use for them
+TYPE_NAMES = {"_": "any", "float": "number", **{name: name for name in TYPE_CHECKS if name != "any"}}
+# Pairs of a type and a wider one
+SUBTYPES = {("int", "number"), ("int", "time"), ("int", "load"), ("number", "time"), ("number", "load")}
+TYPE_DESCRIPTIONS = {
+    "int": "a whole number", "number": "a number", "time": "a time", "load": "a load in erlang",
+    "string": "a string", "bool": "true or false", "null": "null", "any": "anything",
+}  # fmt: skip
 
 
-def _number(value: Any) -> bool:
+def _is_number(value: Any) -> bool:
     return isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
 
 
 def describe(value: Value) -> str:
+    """A value in the words of an error message."""
     match value:
-        case Known(value=known, dimension=dimension):
+        case Concrete(value=scalar, dimension=dimension):
             unit = {"time": "s", "load": "erl"}.get(dimension, "")
-            text = {True: "true", False: "false", None: "null"}.get(known) if not _number(known) else None
-            return text or (f'"{known}"' if isinstance(known, str) else f"{known:.12g}{unit}")
-        case Kind(name=name, limits=limits):
-            bounds = " & ".join(
-                f'{sign}"{limit}"' if isinstance(limit, str) else f"{sign}{limit:g}" for sign, limit in limits
+            text = (
+                {True: "true", False: "false", None: "null"}.get(scalar) if not _is_number(scalar) else None
             )
-            if name == "any" and bounds:
-                return f"something {bounds}"
-            return f"{ARTICLE[name]} {bounds}".strip()
-        case Choice(parts=parts):
-            return " or ".join(describe(part) for _, part in parts)
-        case Record():
+            return text or (f'"{scalar}"' if isinstance(scalar, str) else f"{scalar:.12g}{unit}")
+        case Constraint(type_name=type_name, bounds=bounds):
+            conditions = " & ".join(
+                f'{symbol}"{limit}"' if isinstance(limit, str) else f"{symbol}{limit:g}"
+                for symbol, limit in bounds
+            )
+            if type_name == "any" and conditions:
+                return f"something {conditions}"
+            return f"{TYPE_DESCRIPTIONS[type_name]} {conditions}".strip()
+        case Disjunction(alternatives=alternatives):
+            return " or ".join(describe(alternative) for _, alternative in alternatives)
+        case StructValue():
             return "a struct"
-        case Sequence():
+        case ListValue():
             return "a list"
     return "nothing"
 
 
 class Scope:
-    """A struct as it is written, for the references in it."""
+    """The fields of a struct literal by name, for resolving the references written in it."""
 
-    def __init__(self, parent: "Scope | None", node: syntax.Struct) -> None:
+    def __init__(self, parent: "Scope | None", node: syntax.StructLiteral) -> None:
         self.parent = parent
         self.fields: dict[str, list[Node]] = {}
-        for one in node.fields:
-            self.fields.setdefault(one.name, []).append(one.value)
+        for declaration in node.fields:
+            self.fields.setdefault(declaration.name, []).append(declaration.value)
 
 
 class Evaluator:
+    """Evaluates and unifies nodes, and collects what is wrong with them in `problems`, up to MAX_PROBLEMS."""
+
     def __init__(self) -> None:
-        self.troubles: list[Problem] = []
-        self.known: dict[tuple[int, int], Value] = {}
-        self.under_way: set[tuple[int, int]] = set()
-        self.kept: list[Any] = []  # scopes and nodes, as they are known by identity
+        self.problems: list[Problem] = []
+        self.cache: dict[tuple[int, int], Value] = {}  # by the ids of node and scope
+        self.in_progress: set[tuple[int, int]] = set()
+        # Keeps evaluated nodes and scopes alive: the id of a collected object could come to denote another one.
+        self.kept_alive: list[Any] = []
 
-    def trouble(self, at: Place, path: str, text: str) -> Bottom:
-        if len(self.troubles) < MOST_TROUBLES:
-            self.troubles.append(Problem(at, path, text))
-        return Bottom(at)
+    def report(self, position: Position, path: str, text: str) -> Bottom:
+        if len(self.problems) < MAX_PROBLEMS:
+            self.problems.append(Problem(position, path, text))
+        return Bottom(position)
 
-    # From the tree
+    # Evaluation of syntax nodes
 
     def evaluate(self, node: Node, scope: Scope, path: str, definition: bool = False) -> Value:
+        """The value of a node. Structs in a definition (a field whose name begins with #) are closed."""
         key = (id(node), id(scope))
-        if key in self.known:
-            return self.known[key]
-        if key in self.under_way:
-            return self.trouble(node.at, path, "a reference to itself")
-        self.under_way.add(key)
-        self.kept += [scope, node]
+        if key in self.cache:
+            return self.cache[key]
+        if key in self.in_progress:
+            return self.report(node.position, path, "a reference to itself")
+        self.in_progress.add(key)
+        self.kept_alive += [scope, node]
         try:
-            found = self._evaluate(node, scope, path, definition)
+            value = self._evaluate(node, scope, path, definition)
         finally:
-            self.under_way.discard(key)
-        self.known[key] = found
-        return found
+            self.in_progress.discard(key)
+        self.cache[key] = value
+        return value
 
     def _evaluate(self, node: Node, scope: Scope, path: str, definition: bool) -> Value:
         match node:
-            case syntax.Scalar(at, value, dimension):
-                return Known(at, value, dimension)
-            case syntax.Reference(at, names):
-                return self._refer(at, names, scope, path)
-            case syntax.Both(at, parts):
-                found: Value = Kind(at, "any")
-                for part in parts:
-                    found = self.unify(found, self.evaluate(part, scope, path, definition), path)
-                return found
-            case syntax.Either(at, choices):
-                parts = [(default, self.evaluate(part, scope, path, definition)) for default, part in choices]
-                return self._simplified(Choice(at, parts))
-            case syntax.Limit(at, sign, operand):
-                limit = self.settled(self.evaluate(operand, scope, path))
-                if not isinstance(limit, Known) or (sign == "=~") is not isinstance(limit.value, str):
+            case syntax.ScalarLiteral(position, value, dimension):
+                return Concrete(position, value, dimension)
+            case syntax.Reference(position, names):
+                return self._resolve(position, names, scope, path)
+            case syntax.Conjunction(position, operands):
+                unified: Value = Constraint(position, "any")
+                for operand in operands:
+                    unified = self.unify(unified, self.evaluate(operand, scope, path, definition), path)
+                return unified
+            case syntax.Disjunction(position, choices):
+                alternatives = [
+                    (default, self.evaluate(choice, scope, path, definition)) for default, choice in choices
+                ]
+                return self._simplify(Disjunction(position, alternatives))
+            case syntax.Bound(position, symbol, operand):
+                limit = self.resolve_default(self.evaluate(operand, scope, path))
+                if not isinstance(limit, Concrete) or (symbol == "=~") is not isinstance(limit.value, str):
                     if isinstance(limit, Bottom):
                         return limit
-                    return self.trouble(
-                        at, path, f"{sign} needs {'a string' if sign == '=~' else 'a number'}"
+                    return self.report(
+                        position, path, f"{symbol} needs {'a string' if symbol == '=~' else 'a number'}"
                     )
-                if sign == "=~":
+                if symbol == "=~":
                     try:
                         re.compile(str(limit.value))
                     except re.error as error:
-                        return self.trouble(at, path, f"an unusable pattern: {error}")
-                # A bound on a number holds for a time, too, and a bound in seconds for a time only.
-                name = {"time": "time", "load": "load"}.get(limit.dimension, "any")
-                return Kind(at, "string" if sign == "=~" else name, ((sign, limit.value),))
-            case syntax.Binary(at, sign, left, right):
-                return self._sum(at, sign, left, right, scope, path)
-            case syntax.Items(at, items, rest, is_open):
+                        return self.report(position, path, f"invalid regular expression: {error}")
+                # A plain number as limit also bounds a time or a load; a limit with a unit bounds only its dimension.
+                type_name = {"time": "time", "load": "load"}.get(limit.dimension, "any")
+                return Constraint(
+                    position, "string" if symbol == "=~" else type_name, ((symbol, limit.value),)
+                )
+            case syntax.Arithmetic(position, symbol, left, right):
+                return self._calculate(position, symbol, left, right, scope, path)
+            case syntax.ListLiteral(position, items, rest, is_open):
                 values = [
                     self.evaluate(item, scope, f"{path}[{i}]", definition) for i, item in enumerate(items)
                 ]
-                further = self.evaluate(rest, scope, f"{path}[]", definition) if rest else Kind(at, "any")
-                return Sequence(at, values, further if is_open else None)
-            case syntax.Struct():
-                return self._struct(node, scope, path, definition)
+                further = (
+                    self.evaluate(rest, scope, f"{path}[]", definition)
+                    if rest
+                    else Constraint(position, "any")
+                )
+                return ListValue(position, values, further if is_open else None)
+            case syntax.StructLiteral():
+                return self._evaluate_struct(node, scope, path, definition)
         raise AssertionError(node)
 
-    def _struct(self, node: syntax.Struct, outer: Scope, path: str, definition: bool) -> Value:
+    def _evaluate_struct(
+        self, node: syntax.StructLiteral, outer: Scope, path: str, definition: bool
+    ) -> Value:
         scope = Scope(outer, node)
-        made: Value = Record(node.at)
-        assert isinstance(made, Record)
+        struct: Value = StructValue(node.position)
+        assert isinstance(struct, StructValue)
         patterns = [
             (self.evaluate(label, scope, path), self.evaluate(value, scope, path))
             for label, value in node.patterns
         ]
-        made.patterns = patterns
-        for one in node.fields:
-            if one.name.startswith("#"):
-                self.evaluate(one.value, scope, one.name, definition=True)
+        struct.patterns = patterns
+        for declaration in node.fields:
+            if declaration.name.startswith("#"):
+                self.evaluate(declaration.value, scope, declaration.name, definition=True)
                 continue
-            if one.name.startswith("_"):
-                continue  # for references only
-            where = f"{path}.{one.name}" if path else one.name
-            value = self.evaluate(one.value, scope, where, definition)
-            known = made.slots.get(one.name)
-            if known:
-                value = self.unify(known.value, value, where)
-            made.slots[one.name] = Slot(value, one.optional and (not known or known.optional), one.at)
-        made.closed = definition and not node.is_open
+            if declaration.name.startswith("_"):
+                continue  # hidden: only references use it
+            field_path = f"{path}.{declaration.name}" if path else declaration.name
+            value = self.evaluate(declaration.value, scope, field_path, definition)
+            earlier = struct.fields.get(declaration.name)
+            if earlier:
+                value = self.unify(earlier.value, value, field_path)
+            struct.fields[declaration.name] = FieldValue(
+                value, declaration.optional and (not earlier or earlier.optional), declaration.position
+            )
+        struct.closed = definition and not node.is_open
         for embedded in node.embeds:
-            # An embedded definition does not close the struct against the fields written beside it.
+            # An embedded definition does not close the struct against the fields declared beside it.
             part = self.evaluate(embedded, scope, path)
-            if isinstance(part, Record) and isinstance(made, Record):
+            if isinstance(part, StructValue) and isinstance(struct, StructValue):
                 part = replace(part, closed=False)
-            made = self.unify(made, part, path)
-        if patterns and isinstance(made, Record):
-            made = self._patterned(made, path)
-        return made
-
-    def _refer(self, at: Place, names: tuple[str, ...], scope: Scope, path: str) -> Value:
-        looked: Scope | None = scope
-        while looked and names[0] not in looked.fields:
-            looked = looked.parent
-        if not looked:
-            if names[0] in NAMES and len(names) == 1:
-                return Kind(at, NAMES[names[0]])
-            return self.trouble(at, path, f"no {names[0]!r} is known here")
-        found: Value = Kind(at, "any")
-        for node in looked.fields[names[0]]:
-            part = self.evaluate(node, looked, names[0], definition=names[0].startswith("#"))
-            found = self.unify(found, part, path)
+            struct = self.unify(struct, part, path)
+        if patterns and isinstance(struct, StructValue):
+            struct = self._apply_patterns(struct, path)
+        return struct
+
+    def _resolve(self, position: Position, names: tuple[str, ...], scope: Scope, path: str) -> Value:
+        """The value that a dotted reference refers to."""
+        declaring: Scope | None = scope
+        while declaring and names[0] not in declaring.fields:
+            declaring = declaring.parent
+        if not declaring:
+            if names[0] in TYPE_NAMES and len(names) == 1:
+                return Constraint(position, TYPE_NAMES[names[0]])
+            return self.report(position, path, f"unknown name {names[0]!r}")
+        target: Value = Constraint(position, "any")
+        for node in declaring.fields[names[0]]:
+            part = self.evaluate(node, declaring, names[0], definition=names[0].startswith("#"))
+            target = self.unify(target, part, path)
         for i, name in enumerate(names[1:], 1):
-            found = self.settled(found)
-            if isinstance(found, Bottom):
-                return found
-            if not isinstance(found, Record) or name not in found.slots:
-                return self.trouble(at, path, f"{'.'.join(names[:i])} has no {name!r}")
-            found = found.slots[name].value
-        # What it says is said here: a trouble must point at this line, not at the definition's.
-        return replace(found, at=at) if isinstance(found, Known) else found
-
-    def _sum(self, at: Place, sign: str, left: Node, right: Node, scope: Scope, path: str) -> Value:
-        a, b = (self.settled(self.evaluate(one, scope, path)) for one in (left, right))
+            target = self.resolve_default(target)
+            if isinstance(target, Bottom):
+                return target
+            if not isinstance(target, StructValue) or name not in target.fields:
+                return self.report(position, path, f"{'.'.join(names[:i])} has no field {name!r}")
+            target = target.fields[name].value
+        # The value takes the position of the reference, so that a problem points at this line, not the definition's.
+        return replace(target, position=position) if isinstance(target, Concrete) else target
+
+    def _calculate(
+        self, position: Position, symbol: str, left: Node, right: Node, scope: Scope, path: str
+    ) -> Value:
+        """Arithmetic on concrete numbers, with their units, or the concatenation of two strings."""
+        a, b = (self.resolve_default(self.evaluate(operand, scope, path)) for operand in (left, right))
         if isinstance(a, Bottom) or isinstance(b, Bottom):
-            return Bottom(at)
-        if not (isinstance(a, Known) and isinstance(b, Known)):
-            return self.trouble(at, path, f"{sign} needs known values on both sides")
-        if sign == "+" and isinstance(a.value, str) and isinstance(b.value, str):
-            return Known(at, a.value + b.value)
+            return Bottom(position)
+        if not (isinstance(a, Concrete) and isinstance(b, Concrete)):
+            return self.report(position, path, f"{symbol} needs concrete values on both sides")
+        if symbol == "+" and isinstance(a.value, str) and isinstance(b.value, str):
+            return Concrete(position, a.value + b.value)
         x, y = a.value, b.value
-        if not (_number(x) and _number(y)):
-            return self.trouble(at, path, f"{sign} needs numbers")
+        if not (_is_number(x) and _is_number(y)):
+            return self.report(position, path, f"{symbol} needs numbers")
         dimension = a.dimension or b.dimension
         if a.dimension and b.dimension:
-            if sign == "*" or a.dimension != b.dimension:
-                return self.trouble(
-                    at, path, f"{describe(a)} {sign} {describe(b)} has no unit that is known here"
+            if symbol == "*" or a.dimension != b.dimension:
+                return self.report(
+                    position, path, f"{describe(a)} {symbol} {describe(b)} has no supported unit"
                 )
-            dimension = "" if sign == "/" else dimension
-        elif sign == "/" and b.dimension:
-            return self.trouble(at, path, f"{describe(a)} / {describe(b)} has no unit that is known here")
-        elif dimension and sign in "+-" and x and y:
-            return self.trouble(
-                at, path, f"{describe(a)} {sign} {describe(b)}: one has a unit, the other none"
+            dimension = "" if symbol == "/" else dimension
+        elif symbol == "/" and b.dimension:
+            return self.report(position, path, f"{describe(a)} / {describe(b)} has no supported unit")
+        elif dimension and symbol in "+-" and x and y:
+            return self.report(
+                position, path, f"{describe(a)} {symbol} {describe(b)}: only one operand has a unit"
             )
         try:
-            return Known(at, SUMS[sign](x, y), dimension)
+            return Concrete(position, ARITHMETIC[symbol](x, y), dimension)
         except (ZeroDivisionError, OverflowError) as error:
-            return self.trouble(at, path, str(error))
+            return self.report(position, path, str(error))
 
     # Unification
 
     def unify(self, a: Value, b: Value, path: str) -> Value:
-        """What is both; a trouble is told at b's place, or at a's where b is the schema's."""
-        found = self._both(a, b, path)
-        if isinstance(found, str):
-            first, second = (b, a) if _rank(b) > _rank(a) else (a, b)
-            where = f" ({second.at})" if _inner(second.at) != _inner(first.at) or second.at.line else ""
-            at = first.at
-            text = found if found != "conflict" else f"{describe(first)} is not {describe(second)}"
-            return self.trouble(at, path, text + where)
-        return found
-
-    def _fits(self, a: Value, b: Value, path: str) -> Value | None:
-        """Unified, or None if they cannot be; nothing is told."""
-        before = len(self.troubles)
-        found = self._both(a, b, path)
-        told = len(self.troubles) > before
-        del self.troubles[before:]
-        return None if told or isinstance(found, str | Bottom) else found
-
-    def _both(self, a: Value, b: Value, path: str) -> Value | str:
+        """The value that satisfies both. A conflict is reported at b if its `_report_rank` is higher, else at a."""
+        unified = self._unify(a, b, path)
+        if isinstance(unified, str):
+            first, second = (b, a) if _report_rank(b) > _report_rank(a) else (a, b)
+            where = (
+                f" ({second.position})"
+                if _is_user_file(second.position) != _is_user_file(first.position) or second.position.line
+                else ""
+            )
+            position = first.position
+            text = unified if unified != "conflict" else f"{describe(first)} is not {describe(second)}"
+            return self.report(position, path, text + where)
+        return unified
+
+    def _try_unify(self, a: Value, b: Value, path: str) -> Value | None:
+        """Unifies without reporting problems; None if the values conflict."""
+        before = len(self.problems)
+        unified = self._unify(a, b, path)
+        failed = len(self.problems) > before
+        del self.problems[before:]
+        return None if failed or isinstance(unified, str | Bottom) else unified
+
+    def _unify(self, a: Value, b: Value, path: str) -> Value | str:
+        """The unified value; if a and b conflict, the text of the problem, or "conflict" for the general one."""
         if isinstance(a, Bottom) or isinstance(b, Bottom):
-            return Bottom(a.at)
-        if isinstance(a, Kind) and a.name == "any" and not a.limits:
+            return Bottom(a.position)
+        if isinstance(a, Constraint) and a.type_name == "any" and not a.bounds:
             return b
-        if isinstance(b, Kind) and b.name == "any" and not b.limits:
+        if isinstance(b, Constraint) and b.type_name == "any" and not b.bounds:
             return a
-        if isinstance(a, Choice) or isinstance(b, Choice):
-            return self._choose(a, b, path)
-        if isinstance(b, Known) and isinstance(a, Kind):
+        if isinstance(a, Disjunction) or isinstance(b, Disjunction):
+            return self._unify_disjunctions(a, b, path)
+        if isinstance(b, Concrete) and isinstance(a, Constraint):
             a, b = b, a
         match a, b:
-            case Known(), Known():
-                same = type(a.value) is type(b.value) or _number(a.value) and _number(b.value)
+            case Concrete(), Concrete():
+                same_type = type(a.value) is type(b.value) or _is_number(a.value) and _is_number(b.value)
                 if (
-                    not same
+                    not same_type
                     or a.value != b.value
                     or a.dimension != b.dimension
                     and a.dimension
@@ -346,93 +389,108 @@
                 ):
                     return "conflict"
                 return a if a.dimension else b
-            case Known(), Kind():
-                if not TYPES[b.name](a.value, a.dimension):
+            case Concrete(), Constraint():
+                if not TYPE_CHECKS[b.type_name](a.value, a.dimension):
                     return "conflict"
-                for sign, limit in b.limits:
-                    if not _keeps(a.value, sign, limit):
+                for symbol, limit in b.bounds:
+                    if not _satisfies(a.value, symbol, limit):
                         return "conflict"
-                if b.name in ("time", "load"):
-                    return replace(a, value=float(a.value), dimension=b.name)  # type: ignore[arg-type]
-                return replace(a, value=int(a.value)) if b.name == "int" else a  # type: ignore[arg-type]
-            case Kind(), Kind():
-                name = a.name
-                if a.name != b.name:
-                    if a.name == "any" or (b.name, a.name) in WITHIN:
-                        name = b.name
-                    elif not (b.name == "any" or (a.name, b.name) in WITHIN):
+                if b.type_name in ("time", "load"):
+                    return replace(a, value=float(a.value), dimension=b.type_name)  # type: ignore[arg-type]
+                return replace(a, value=int(a.value)) if b.type_name == "int" else a  # type: ignore[arg-type]
+            case Constraint(), Constraint():
+                type_name = a.type_name
+                if a.type_name != b.type_name:
+                    if a.type_name == "any" or (b.type_name, a.type_name) in SUBTYPES:
+                        type_name = b.type_name
+                    elif not (b.type_name == "any" or (a.type_name, b.type_name) in SUBTYPES):
                         return "conflict"
-                return Kind(a.at, name, tuple(dict.fromkeys((*a.limits, *b.limits))))
-            case Record(), Record():
-                return self._records(a, b, path)
-            case Sequence(), Sequence():
-                return self._sequences(a, b, path)
+                return Constraint(a.position, type_name, tuple(dict.fromkeys((*a.bounds, *b.bounds))))
+            case StructValue(), StructValue():
+                return self._unify_structs(a, b, path)
+            case ListValue(), ListValue():
+                return self._unify_lists(a, b, path)
         return "conflict"
 
-    def _choose(self, a: Value, b: Value, path: str) -> Value | str:
-        """Each with each; what cannot be both falls away. A default lasts while it is possible."""
-        left = a.parts if isinstance(a, Choice) else [(False, a)]
-        right = b.parts if isinstance(b, Choice) else [(False, b)]
-        marked = [any(d for d, _ in side) for side in (left, right)]
-        parts = []
-        for d, x in left:
-            for e, y in right:
-                both = self._fits(x, y, path)
-                if both is not None:
-                    parts.append(((d or not marked[0]) and (e or not marked[1]) and any(marked), both))
-        if not parts:
-            # With one struct or list among the choices, say what is wrong inside it.
-            for one, choice in ((a, right), (b, left)):
-                same = [x for _, x in choice if type(x) is type(one)]
-                if len(same) == 1 and isinstance(one, Record | Sequence):
-                    return self.unify(one, same[0], path)
+    def _unify_disjunctions(self, a: Value, b: Value, path: str) -> Value | str:
+        """Unifies each alternative of a with each of b and drops the pairs that conflict.
+
+        A unified alternative is a default if it comes from a default on each side that has one.
+        """
+        left = a.alternatives if isinstance(a, Disjunction) else [(False, a)]
+        right = b.alternatives if isinstance(b, Disjunction) else [(False, b)]
+        has_default = [any(default for default, _ in side) for side in (left, right)]
+        alternatives = []
+        for left_default, x in left:
+            for right_default, y in right:
+                unified = self._try_unify(x, y, path)
+                if unified is not None:
+                    alternatives.append(
+                        (
+                            (left_default or not has_default[0])
+                            and (right_default or not has_default[1])
+                            and any(has_default),
+                            unified,
+                        )
+                    )
+        if not alternatives:
+            # If just one alternative is a struct or list like the other value, report what is wrong inside it.
+            for value, choices in ((a, right), (b, left)):
+                same_type = [choice for _, choice in choices if type(choice) is type(value)]
+                if len(same_type) == 1 and isinstance(value, StructValue | ListValue):
+                    return self.unify(value, same_type[0], path)
             return "conflict"
-        return self._simplified(Choice(a.at, parts))
+        return self._simplify(Disjunction(a.position, alternatives))
 
-    def _simplified(self, choice: Choice) -> Value:
-        if len(choice.parts) == 1:
-            return choice.parts[0][1]
-        return choice
+    def _simplify(self, disjunction: Disjunction) -> Value:
+        if len(disjunction.alternatives) == 1:
+            return disjunction.alternatives[0][1]
+        return disjunction
 
-    def _records(self, a: Record, b: Record, path: str) -> Value:
-        made = Record(a.at, {}, a.patterns + b.patterns, a.closed or b.closed)
+    def _unify_structs(self, a: StructValue, b: StructValue, path: str) -> Value:
+        struct = StructValue(a.position, {}, a.patterns + b.patterns, a.closed or b.closed)
         for own, other in ((a, b), (b, a)):
             if not other.closed:
                 continue
-            for name, slot in own.slots.items():
-                if name not in other.slots and not any(
-                    self._fits(Known(slot.at, name), label, path) for label, _ in other.patterns
+            for name, entry in own.fields.items():
+                if name not in other.fields and not any(
+                    self._try_unify(Concrete(entry.position, name), label, path)
+                    for label, _ in other.patterns
                 ):
-                    near = get_close_matches(name, other.slots, 1)
-                    hint = f"; is {near[0]!r} meant?" if near else f"; there are {', '.join(other.slots)}"
-                    self.trouble(slot.at, _join(path, name), f"unknown field{hint}")
-        for name in dict.fromkeys((*a.slots, *b.slots)):
-            x, y = a.slots.get(name), b.slots.get(name)
+                    similar = get_close_matches(name, other.fields, 1)
+                    hint = (
+                        f"; did you mean {similar[0]!r}?"
+                        if similar
+                        else f"; known fields: {', '.join(other.fields)}"
+                    )
+                    self.report(entry.position, _join(path, name), f"unknown field{hint}")
+        for name in dict.fromkeys((*a.fields, *b.fields)):
+            x, y = a.fields.get(name), b.fields.get(name)
             if x and y:
                 value = self.unify(x.value, y.value, _join(path, name))
-                # Where it is written, rather than where it is asked for.
-                at = max((x.at, y.at), key=_written)
-                made.slots[name] = Slot(value, x.optional and y.optional, at)
+                # The position where the value is given, rather than where the schema declares it.
+                position = max((x.position, y.position), key=_user_file_last)
+                struct.fields[name] = FieldValue(value, x.optional and y.optional, position)
             else:
-                made.slots[name] = x or y  # type: ignore[assignment]
-        made.at = max((a.at, b.at), key=_written)
-        return self._patterned(made, path) if made.patterns else made
-
-    def _patterned(self, record: Record, path: str) -> Record:
-        for name, slot in record.slots.items():
-            for label, value in record.patterns:
-                if self._fits(Known(slot.at, name), label, path):
-                    slot = replace(slot, value=self.unify(slot.value, value, _join(path, name)))
-                    record.slots[name] = slot
-        return record
-
-    def _sequences(self, a: Sequence, b: Sequence, path: str) -> Value | str:
-        for one, other in ((a, b), (b, a)):
-            if one.rest is None and len(other.items) > len(one.items):
-                longer, most = len(other.items), len(one.items)
-                return f"{longer} items, where there are to be {most}"
-            if one.rest is None and other.rest is None and len(one.items) != len(other.items):
-                return f"{len(one.items)} items, where there are to be {len(other.items)}"
+                struct.fields[name] = x or y  # type: ignore[assignment]
+        struct.position = max((a.position, b.position), key=_user_file_last)
+        return self._apply_patterns(struct, path) if struct.patterns else struct
+
+    def _apply_patterns(self, struct: StructValue, path: str) -> StructValue:
+        for name, entry in struct.fields.items():
+            for label, value in struct.patterns:
+                if self._try_unify(Concrete(entry.position, name), label, path):
+                    entry = replace(entry, value=self.unify(entry.value, value, _join(path, name)))
+                    struct.fields[name] = entry
+        return struct
+
+    def _unify_lists(self, a: ListValue, b: ListValue, path: str) -> Value | str:
+        for closed_list, other in ((a, b), (b, a)):
+            if closed_list.rest is None and len(other.items) > len(closed_list.items):
+                count, expected = len(other.items), len(closed_list.items)
+                return f"a list of {count} items, expected {expected}"
+            if closed_list.rest is None and other.rest is None and len(closed_list.items) != len(other.items):
+                return f"a list of {len(closed_list.items)} items, expected {len(other.items)}"
         items = []
         for i in range(max(len(a.items), len(b.items))):
             x = a.items[i] if i < len(a.items) else a.rest
@@ -440,112 +498,130 @@
             assert x is not None and y is not None
             items.append(self.unify(x, y, f"{path}[{i}]"))
         rest = self.unify(a.rest, b.rest, f"{path}[]") if a.rest and b.rest else None
-        return Sequence(max((a.at, b.at), key=_written), items, rest)
+        return ListValue(max((a.position, b.position), key=_user_file_last), items, rest)
 
-    # To plain data
+    # Conversion to plain data
 
-    def settled(self, value: Value) -> Value:
-        """A choice is its default, where it has one."""
-        while isinstance(value, Choice):
-            defaults = [part for marked, part in value.parts if marked]
+    def resolve_default(self, value: Value) -> Value:
+        """Replaces a disjunction by its default, if it has exactly one."""
+        while isinstance(value, Disjunction):
+            defaults = [alternative for is_default, alternative in value.alternatives if is_default]
             if len(defaults) != 1:
                 return value
             value = defaults[0]
         return value
 
-    def plain(self, value: Value, path: str, at: Place) -> Any:
-        """As Python data; times in seconds, loads in erlang. What is still open is a trouble."""
-        value = self.settled(value)
+    def to_data(self, value: Value, path: str, position: Position) -> Any:
+        """A value as Python data, with times in seconds and loads in erlang.
+
+        A value that is not concrete is reported as missing, at `position`.
+        """
+        value = self.resolve_default(value)
         match value:
-            case Known(value=known):
-                return known
-            case Record(slots=slots):
-                # A struct's missing fields are told where the struct stands in the user's file.
-                here = value.at if _inner(value.at) else at
+            case Concrete(value=scalar):
+                return scalar
+            case StructValue(fields=fields):
+                # The missing fields of a struct are reported where the struct begins in the user's file.
+                struct_position = value.position if _is_user_file(value.position) else position
                 return {
-                    name: self.plain(slot.value, _join(path, name), max(here, slot.at, key=_written))
-                    for name, slot in slots.items()
-                    if not slot.optional
+                    name: self.to_data(
+                        entry.value,
+                        _join(path, name),
+                        max(struct_position, entry.position, key=_user_file_last),
+                    )
+                    for name, entry in fields.items()
+                    if not entry.optional
                 }
-            case Sequence(items=items):
-                return [self.plain(item, f"{path}[{i}]", at) for i, item in enumerate(items)]
+            case ListValue(items=items):
+                return [self.to_data(item, f"{path}[{i}]", position) for i, item in enumerate(items)]
             case Bottom():
                 return None
-        self.trouble(at, path, f"missing; expected {describe(value)}")
+        self.report(position, path, f"missing; expected {describe(value)}")
         return None
 
 
-def _inner(place: Place) -> int:
-    """1 for a user's file, 0 for a schema of the package: a trouble is the user's to mend."""
-    return 0 if place.file.startswith("<") else 1
+def _is_user_file(position: Position) -> int:
+    """1 for a user's file, 0 for a schema of the package. Problems are reported in the file that the user can edit."""
+    return 0 if position.file.startswith("<") else 1
 
 
-def _written(place: Place) -> tuple[int, Place]:
-    """Of two places, the one where a value is used rather than defined."""
-    return _inner(place), place
+def _user_file_last(position: Position) -> tuple[int, Position]:
+    """Sort key that puts positions in a user's file, where values are given, after those in a schema."""
+    return _is_user_file(position), position
 
 
-def _rank(value: Value) -> tuple[int, bool]:
-    """What a trouble is told of: the user's part, and of that what is no demand."""
-    return _inner(value.at), isinstance(value, Known)
+def _report_rank(value: Value) -> tuple[int, bool]:
+    """Sort key: of two conflicting values, the greater is the one to report, with its position.
+
+    A value of the user ranks above one of the schema, and then a concrete value above a constraint.
+    """
+    return _is_user_file(value.position), isinstance(value, Concrete)
 
 
 def _join(path: str, name: str) -> str:
     return f"{path}.{name}" if path else name
 
 
-def _keeps(value: Scalar, sign: str, limit: Scalar) -> bool:
-    if sign == "=~":
+def _satisfies(value: Scalar, symbol: str, limit: Scalar) -> bool:
+    if symbol == "=~":
         return isinstance(value, str) and re.search(str(limit), value) is not None
-    if sign == "!=":
+    if symbol == "!=":
         return value != limit
-    if _number(value) and _number(limit) or isinstance(value, str) and isinstance(limit, str):
-        return bool(COMPARE[sign](value, limit))
+    if _is_number(value) and _is_number(limit) or isinstance(value, str) and isinstance(limit, str):
+        return bool(COMPARISONS[symbol](value, limit))
     return False
 
 
 def schemas() -> list[str]:
     """The names of the schemas that ship with the package."""
     folder = resources.files("tansyspur.records").joinpath("schemas")
-    return sorted(one.name.removesuffix(".cue") for one in folder.iterdir() if one.name.endswith(".cue"))
+    return sorted(
+        entry.name.removesuffix(".cue") for entry in folder.iterdir() if entry.name.endswith(".cue")
+    )
 
 
 def schema_text(name: str) -> str:
+    """The source of a schema. Raises ValueError if the package has none of this name."""
     if name not in schemas():
-        raise ValueError(f"no schema is named {name!r}; there are {', '.join(schemas())}")
+        raise ValueError(f"unknown schema {name!r}; available: {', '.join(schemas())}")
     return resources.files("tansyspur.records").joinpath("schemas", f"{name}.cue").read_text()
 
 
 def loads(text: str, schema: str | None = None, file: str = "<text>") -> Any:
-    """The record in a text, unified with `#Record` of a schema of the package, as plain data.
+    """Evaluates the record in `text` to plain data; `file` is its name in error messages.
 
-    Times become seconds, loads erlang. Raises RecordError with all that is wrong, each with file, line,
-    column and path; ValueError if there is no such schema.
+    With a schema, the record is first unified with the schema's `#Record`. Times become seconds, loads erlang.
+    Raises RecordError with all problems, each with file, line, column and path, and ValueError if the package has no
+    such schema.
     """
     evaluator = Evaluator()
     try:
         tree = syntax.parse(text, file)
-        outer = None
+        schema_scope = None
         if schema is not None:
-            above = syntax.parse(schema_text(schema), f"<{schema}.cue>")
-            outer = Scope(None, above)
-        found = evaluator.evaluate(tree, outer or Scope(None, syntax.Struct(tree.at)), "")
-        if outer:
-            wanted = evaluator.evaluate(outer.fields["#Record"][0], outer, "", definition=True)
-            found = evaluator.unify(found, wanted, "")
-        plain = evaluator.plain(found, "", Place(file, 1, 1))
-    except syntax.SyntaxTrouble as error:
-        raise RecordError([Problem(error.place, "", error.text)]) from None
-    if evaluator.troubles:
-        raise RecordError(evaluator.troubles)
-    return plain
+            schema_tree = syntax.parse(schema_text(schema), f"<{schema}.cue>")
+            schema_scope = Scope(None, schema_tree)
+        record = evaluator.evaluate(
+            tree, schema_scope or Scope(None, syntax.StructLiteral(tree.position)), ""
+        )
+        if schema_scope:
+            required = evaluator.evaluate(
+                schema_scope.fields["#Record"][0], schema_scope, "", definition=True
+            )
+            record = evaluator.unify(record, required, "")
+        data = evaluator.to_data(record, "", Position(file, 1, 1))
+    except syntax.RecordSyntaxError as error:
+        raise RecordError([Problem(error.position, "", error.text)]) from None
+    if evaluator.problems:
+        raise RecordError(evaluator.problems)
+    return data
 
 
 def load(path: str | Path, schema: str | None = None) -> Any:
-    """The record in a file; see `loads`."""
+    """Evaluates the record in a file; see `loads`. A file that cannot be read raises RecordError as well."""
     try:
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
         reason = error.strerror if isinstance(error, OSError) else "not UTF-8"
-        raise RecordError([Problem(Place(str(path), 0, 0), "", f"cannot be read: {reason}")]) from None
+        raise RecordError([Problem(Position(str(path), 0, 0), "", f"cannot be read: {reason}")]) from None
     return loads(text, schema, str(path))
--- a/tansyspur/records/syntax.py
+++ b/tansyspur/records/syntax.py
@@ -1,4 +1,7 @@
-"""From text to a tree whose nodes know where they stand; no I/O."""
+"""Parses the text of a typed record into a syntax tree, each node with its position in the file.
+
+The only file that is read is the grammar, grammar.lark. `parse` is the entry point.
+"""
 
 import json
 from collections.abc import Iterator
@@ -8,10 +11,11 @@
 
 import lark
 
-# In seconds, or in erlang; a share in percent is a plain number.
+# Factors to seconds and to erlang; a percentage becomes a plain number.
 UNITS = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0, "erl": 1.0, "%": 0.01}
 DIMENSIONS = {"us": "time", "ms": "time", "s": "time", "min": "time", "h": "time", "erl": "load"}
-ENDS = {
+# Tokens that can end a value; a line end after one of them counts as a comma.
+VALUE_END_TOKENS = {
     "IDENT",
     "DEFINITION",
     "NUMBER",
@@ -23,12 +27,12 @@
     "__ANON_0",
     "OPTIONAL",
 }
-MOST_DEPTH = 64  # guards the recursion against a file that nests without end
+MAX_DEPTH = 64  # of nested brackets; without a limit, a deeply nested file would exhaust the stack
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class Place:
-    """Where something stands: file, line and column, both from 1."""
+class Position:
+    """A position in a file; line and column count from 1."""
 
     file: str = ""
     line: int = 0
@@ -38,89 +42,92 @@
         return f"{self.file}:{self.line}:{self.column}"
 
 
-class SyntaxTrouble(Exception):
-    def __init__(self, place: Place, text: str) -> None:
-        super().__init__(f"{place}: {text}")
-        self.place, self.text = place, text
+class RecordSyntaxError(Exception):
+    """A text that the grammar does not admit; `position` is that of the first token that does not fit."""
+
+    def __init__(self, position: Position, text: str) -> None:
+        super().__init__(f"{position}: {text}")
+        self.position, self.text = position, text
 
 
 @dataclass(slots=True, eq=False)
 class Node:
-    at: Place
+    position: Position
 
 
 @dataclass(slots=True, eq=False)
-class Scalar(Node):
+class ScalarLiteral(Node):
     value: str | float | int | bool | None
-    dimension: str = ""  # "time", "load", or none
+    dimension: str = ""  # "time" (value in seconds), "load" (in erlang), or "" for none
 
 
 @dataclass(slots=True, eq=False)
 class Reference(Node):
-    names: tuple[str, ...]
+    names: tuple[str, ...]  # the parts of a dotted name
 
 
 @dataclass(slots=True, eq=False)
-class Binary(Node):
-    sign: str
+class Arithmetic(Node):
+    symbol: str  # + - * /
     left: Node
     right: Node
 
 
 @dataclass(slots=True, eq=False)
-class Limit(Node):
-    sign: str
+class Bound(Node):
+    symbol: str  # < <= > >= != =~
     operand: Node
 
 
 @dataclass(slots=True, eq=False)
-class Both(Node):
-    parts: list[Node]
+class Conjunction(Node):
+    operands: list[Node]
 
 
 @dataclass(slots=True, eq=False)
-class Either(Node):
-    parts: list[tuple[bool, Node]]  # with whether it is the default
+class Disjunction(Node):
+    alternatives: list[tuple[bool, Node]]  # each with whether it is marked as the default
 
 
 @dataclass(slots=True, eq=False)
 class Field:
-    at: Place
+    position: Position
     name: str
     value: Node
     optional: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Struct(Node):
+class StructLiteral(Node):
     fields: list[Field] = field(default_factory=list)
+    # Constraint on the field name, and the value that each matching field must unify with
     patterns: list[tuple[Node, Node]] = field(default_factory=list)
     embeds: list[Node] = field(default_factory=list)
-    is_open: bool = False
+    is_open: bool = False  # written with "...": admits further fields
 
 
 @dataclass(slots=True, eq=False)
-class Items(Node):
+class ListLiteral(Node):
     items: list[Node]
-    rest: Node | None = None  # of any further item
-    is_open: bool = False
+    rest: Node | None = None  # constraint on further items; None: anything
+    is_open: bool = False  # written with "...": admits further items
 
 
-class _LineEnds:
-    """A line's end is a comma after what can end a value, and elsewhere nothing."""
+class _LineEndCommas:
+    """Turns the end of a line into a comma if the token before it can end a value, and drops it otherwise."""
 
     always_accept = ("_NL",)
 
     def process(self, stream: Iterator[lark.Token]) -> Iterator[lark.Token]:
-        last: lark.Token | None = None
+        previous: lark.Token | None = None
         for token in stream:
             if token.type == "_NL":
-                if last is None or last.type not in ENDS:
+                if previous is None or previous.type not in VALUE_END_TOKENS:
                     continue
                 token = lark.Token.new_borrow_pos("_COMMA", ",", token)
-            if last is not None and last.type == "_COMMA" and token.type == "_COMMA":
+            if previous is not None and previous.type == "_COMMA" and token.type == "_COMMA":
                 continue
-            last = token
+            previous = token
             yield token
 
 
@@ -131,50 +138,56 @@
         grammar,
         parser="lalr",
         lexer="basic",
-        postlex=_LineEnds(),
+        postlex=_LineEndCommas(),
         propagate_positions=True,
         maybe_placeholders=True,
     )
 
 
-class _Builder(lark.visitors.Interpreter):  # type: ignore[type-arg]
+class _TreeBuilder(lark.visitors.Interpreter):  # type: ignore[type-arg]
+    """Builds nodes from lark's parse tree. The public methods are named after the rules of the grammar.
+
+    Exceptions are `position` and `node`, which are helpers.
+    """
+
     def __init__(self, file: str) -> None:
         self.file = file
 
-    def place(self, of: lark.Tree | lark.Token) -> Place:  # type: ignore[type-arg]
-        if isinstance(of, lark.Token):
-            return Place(self.file, of.line or 0, of.column or 0)
-        return Place(self.file, getattr(of.meta, "line", 0), getattr(of.meta, "column", 0))
+    def position(self, element: lark.Tree | lark.Token) -> Position:  # type: ignore[type-arg]
+        if isinstance(element, lark.Token):
+            return Position(self.file, element.line or 0, element.column or 0)
+        return Position(self.file, getattr(element.meta, "line", 0), getattr(element.meta, "column", 0))
 
     def node(self, tree: lark.Tree) -> Node:  # type: ignore[type-arg]
         return self.visit(tree)
 
-    def start(self, tree) -> Struct:
-        return self._struct(tree, Place(self.file, 1, 1))
-
-    def struct(self, tree) -> Struct:
-        return self._struct(tree, self.place(tree))
-
-    def _struct(self, tree, at: Place) -> Struct:
-        made = Struct(at)
-        decls = tree.children[0]
-        for decl in decls.children if decls is not None else ():
-            if decl.data == "field":
-                found = self.field(decl)
-                made.patterns.append(found) if isinstance(found, tuple) else made.fields.append(found)
-            elif decl.data == "ellipsis":
-                made.is_open = True
+    def start(self, tree) -> StructLiteral:
+        return self._struct(tree, Position(self.file, 1, 1))
+
+    def struct(self, tree) -> StructLiteral:
+        return self._struct(tree, self.position(tree))
+
+    def _struct(self, tree, position: Position) -> StructLiteral:
+        struct = StructLiteral(position)
+        declarations = tree.children[0]
+        for declaration in declarations.children if declarations is not None else ():
+            if declaration.data == "field":
+                entry = self.field(declaration)
+                struct.patterns.append(entry) if isinstance(entry, tuple) else struct.fields.append(entry)
+            elif declaration.data == "ellipsis":
+                struct.is_open = True
             else:
-                made.embeds.append(self.node(decl.children[0]))
-        return made
+                struct.embeds.append(self.node(declaration.children[0]))
+        return struct
 
     def field(self, tree) -> Field | tuple[Node, Node]:
+        """A field, or a pattern with its value. `a: b: 1` is short for `a: {b: 1}`."""
         label, mark, value = tree.children
-        at = self.place(label)
+        position = self.position(label)
         if value.data == "field":
             inner = self.field(value)
-            node: Node = Struct(at)
-            assert isinstance(node, Struct)
+            node: Node = StructLiteral(position)
+            assert isinstance(node, StructLiteral)
             node.patterns.append(inner) if isinstance(inner, tuple) else node.fields.append(inner)
         else:
             node = self.node(value)
@@ -183,108 +196,115 @@
         name = str(label.children[0])
         if label.data == "quoted":
             name = self._text(label.children[0])
-        return Field(at, name, node, bool(mark.children))
+        return Field(position, name, node, bool(mark.children))
 
     def _text(self, token: lark.Token) -> str:
         try:
             return json.loads(str(token))
         except ValueError as error:
-            raise SyntaxTrouble(self.place(token), f"an unreadable string: {error}") from None
+            raise RecordSyntaxError(self.position(token), f"invalid string: {error}") from None
 
     def disjunction(self, tree) -> Node:
-        parts = []
-        for one in tree.children:
-            *default, value = one.children
-            parts.append((bool(default), self.node(value)))
-        if len(parts) == 1:
-            return parts[0][1]
-        return Either(self.place(tree), parts)
+        alternatives = []
+        for alternative in tree.children:
+            *default_mark, value = alternative.children
+            alternatives.append((bool(default_mark), self.node(value)))
+        if len(alternatives) == 1:
+            return alternatives[0][1]
+        return Disjunction(self.position(tree), alternatives)
 
     def unify(self, tree) -> Node:
-        parts = [self.node(one) for one in tree.children]
-        return parts[0] if len(parts) == 1 else Both(self.place(tree), parts)
+        operands = [self.node(operand) for operand in tree.children]
+        return operands[0] if len(operands) == 1 else Conjunction(self.position(tree), operands)
 
-    def _binary(self, tree, sign: str) -> Node:
+    def _arithmetic(self, tree, symbol: str) -> Node:
         left, right = tree.children
-        return Binary(self.place(tree), sign, self.node(left), self.node(right))
+        return Arithmetic(self.position(tree), symbol, self.node(left), self.node(right))
 
     def add(self, tree) -> Node:
-        return self._binary(tree, "+")
+        return self._arithmetic(tree, "+")
 
     def subtract(self, tree) -> Node:
-        return self._binary(tree, "-")
+        return self._arithmetic(tree, "-")
 
     def multiply(self, tree) -> Node:
-        return self._binary(tree, "*")
+        return self._arithmetic(tree, "*")
 
     def divide(self, tree) -> Node:
-        return self._binary(tree, "/")
+        return self._arithmetic(tree, "/")
 
     def negative(self, tree) -> Node:
-        at = self.place(tree)
-        return Binary(at, "-", Scalar(at, 0), self.node(tree.children[0]))
+        position = self.position(tree)
+        return Arithmetic(position, "-", ScalarLiteral(position, 0), self.node(tree.children[0]))
 
     def bound(self, tree) -> Node:
-        return Limit(self.place(tree), str(tree.children[0]), self.node(tree.children[1]))
+        return Bound(self.position(tree), str(tree.children[0]), self.node(tree.children[1]))
 
     def number(self, tree) -> Node:
         text = str(tree.children[0]).replace("_", "")
         unit = next((unit for unit in sorted(UNITS, key=len, reverse=True) if text.endswith(unit)), "")
-        figure = text[: len(text) - len(unit)]
-        value: float | int = int(figure) if figure.isdigit() else float(figure)
+        digits = text[: len(text) - len(unit)]
+        value: float | int = int(digits) if digits.isdigit() else float(digits)
         if unit:
             value = float(value) * UNITS[unit]
-        return Scalar(self.place(tree), value, DIMENSIONS.get(unit, ""))
+        return ScalarLiteral(self.position(tree), value, DIMENSIONS.get(unit, ""))
 
     def string(self, tree) -> Node:
-        return Scalar(self.place(tree), self._text(tree.children[0]))
+        return ScalarLiteral(self.position(tree), self._text(tree.children[0]))
 
     def reference(self, tree) -> Node:
-        names = tuple(str(one) for one in tree.children)
-        at = self.place(tree)
-        words = {"true": True, "false": False, "null": None}
-        return Scalar(at, words[names[0]]) if names[0] in words and len(names) == 1 else Reference(at, names)
+        names = tuple(str(token) for token in tree.children)
+        position = self.position(tree)
+        keywords = {"true": True, "false": False, "null": None}
+        return (
+            ScalarLiteral(position, keywords[names[0]])
+            if names[0] in keywords and len(names) == 1
+            else Reference(position, names)
+        )
 
     def list(self, tree) -> Node:
-        made = Items(self.place(tree), [])
+        literal = ListLiteral(self.position(tree), [])
         items = tree.children[0]
-        for one in items.children if items is not None else ():
-            if one.data == "ellipsis":
-                made.is_open = True
-                made.rest = self.node(one.children[0]) if one.children[0] is not None else None
+        for item in items.children if items is not None else ():
+            if item.data == "ellipsis":
+                literal.is_open = True
+                literal.rest = self.node(item.children[0]) if item.children[0] is not None else None
             else:
-                made.items.append(self.node(one))
-        return made
+                literal.items.append(self.node(item))
+        return literal
 
 
-EXPECTED = {
+# Tokens as error messages describe them; others are left out of the list of what was expected.
+TOKEN_DESCRIPTIONS = {
     "_COMMA": "a comma or a new line", "COLON": "':'", "RBRACE": "'}'", "RSQB": "']'", "RPAR": "')'",
     "IDENT": "a name", "NUMBER": "a number", "STRING": "a string", "$END": "the end",
 }  # fmt: skip
 
 
-def parse(text: str, file: str) -> Struct:
-    """The tree of a file. Raises SyntaxTrouble with the place of the first thing that does not belong."""
+def parse(text: str, file: str) -> StructLiteral:
+    """Parses `text`; `file` is its name in positions. Raises RecordSyntaxError at the first token that does not fit."""
     depth = 0
-    for line, row in enumerate(text.split("\n"), 1):
-        for mark in row:
-            depth += (mark in "{[(") - (mark in "}])")
-            if depth > MOST_DEPTH:
-                raise SyntaxTrouble(Place(file, line, 1), f"nested deeper than {MOST_DEPTH}")
+    for number, line in enumerate(text.split("\n"), 1):
+        for character in line:
+            depth += (character in "{[(") - (character in "}])")
+            if depth > MAX_DEPTH:
+                raise RecordSyntaxError(Position(file, number, 1), f"nested deeper than {MAX_DEPTH}")
     try:
-        return _Builder(file).start(_parser().parse(text))
+        return _TreeBuilder(file).start(_parser().parse(text))
     except lark.exceptions.VisitError as error:
         raise error.orig_exc from None
     except lark.UnexpectedToken as error:
-        known = [EXPECTED[name] for name in sorted(error.expected) if name in EXPECTED]
-        found = "the end of the file" if error.token.type == "$END" else repr(str(error.token))
+        expected_tokens = [
+            TOKEN_DESCRIPTIONS[name] for name in sorted(error.expected) if name in TOKEN_DESCRIPTIONS
+        ]
+        unexpected = "the end of the file" if error.token.type == "$END" else repr(str(error.token))
         if error.token.type == "_COMMA":
-            found = "a comma or the line's end"
-        last = text.count("\n") + 1, len(text) - text.rfind("\n")
-        place = Place(file, *(last if error.token.type == "$END" else (error.line, error.column)))
-        expected = f"; expected {' or '.join(known)}" if known else ""
-        raise SyntaxTrouble(place, f"unexpected {found}{expected}") from None
+            unexpected = "a comma or the line's end"
+        end = text.count("\n") + 1, len(text) - text.rfind("\n")
+        position = Position(file, *(end if error.token.type == "$END" else (error.line, error.column)))
+        expected = f"; expected {' or '.join(expected_tokens)}" if expected_tokens else ""
+        raise RecordSyntaxError(position, f"unexpected {unexpected}{expected}") from None
     except lark.UnexpectedCharacters as error:
-        raise SyntaxTrouble(
-            Place(file, error.line, error.column), f"unexpected character {text[error.pos_in_stream]!r}"
+        raise RecordSyntaxError(
+            Position(file, error.line, error.column), f"unexpected character {text[error.pos_in_stream]!r}"
         ) from None
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Typed records: what they mean, and that all that is wrong is told with its place."""
+"""Typed records: what they evaluate to, and that every problem is reported with its position and path."""
 
 import json
 
@@ -55,12 +55,12 @@
         ("a: null | int\na: 3", 3),
     ],
 )
-def test_what_a_record_means(text, value):
+def test_evaluation(text, value):
     assert records.loads(text)["a"] == (pytest.approx(value) if isinstance(value, float) else value)
 
 
 @pytest.mark.parametrize(
-    "text, line, column, path, said",
+    "text, line, column, path, message",
     [
         ("a: 1 & 2", 1, 4, "a", "1 is not 2"),
         ("a: 1\na: 2", 1, 4, "a", "is not"),
@@ -68,10 +68,10 @@
         ("a: number & 5ms", 1, 13, "a", "0.005s is not a number"),
         ("a: time & 5erl", 1, 11, "a", "5erl is not a time"),
         ("a: >3 & 2", 1, 9, "a", "2 is not something >3"),
-        ("a:\n  b: c", 2, 6, "a.b", "no 'c'"),
+        ("a:\n  b: c", 2, 6, "a.b", "unknown name 'c'"),
         ("#P: {x: int}\na: #P & {x: 1, y: 2}", 2, 16, "a.y", "unknown field"),
         ("#P: {x: int}\na: #P & {}", 2, 9, "a.x", "missing"),
-        ("#P: {rate: int}\na: #P & {rte: 1, rate: 2}", 2, 10, "a.rte", "is 'rate' meant"),
+        ("#P: {rate: int}\na: #P & {rte: 1, rate: 2}", 2, 10, "a.rte", "did you mean 'rate'"),
         ("#P: {l: [...{x: int}]}\na: #P & {l: [{x: 1, y: 1}]}", 2, 21, "a.l[0].y", "unknown field"),
         ("a: [1, 2] & [1]", 1, 4, "a", "2 items"),
         ("a: b\nb: a", 1, 4, "a", "itself"),
@@ -82,18 +82,18 @@
         ('a: "x', 1, 4, "", "unexpected character"),
         ("a: (1 | 2)", 1, 1, "a", "missing; expected 1 or 2"),
         ("a: " + "[" * 100, 1, 1, "", "nested"),
-        ('a: string & =~"("', 1, 13, "a", "unusable pattern"),
+        ('a: string & =~"("', 1, 13, "a", "invalid regular expression"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(text, line, column, path, said):
+def test_a_problem_is_reported_with_its_position(text, line, column, path, message):
     with pytest.raises(records.RecordError) as caught:
         records.loads(text, file="f.cue")
     first = caught.value.problems[0]
-    assert (first.place.file, first.place.line, first.place.column) == ("f.cue", line, column)
-    assert first.path == path and said in first.text
+    assert (first.position.file, first.position.line, first.position.column) == ("f.cue", line, column)
+    assert first.path == path and message in first.text
 
 
-def test_all_that_is_wrong_is_told():
+def test_all_problems_are_reported_together():
     text = """switches: [
   {name: "a", depot: "d", rate: -4, raet: 3}
   {name: "b", rate: 3, queue_limit: "x", other: {share: 120%}}
@@ -103,50 +103,52 @@
 """
     with pytest.raises(records.RecordError) as caught:
         records.loads(text, "fleet", "bad.cue")
-    told = {trouble.path: trouble for trouble in caught.value.problems}
-    assert set(told) == {
+    problems = {problem.path: problem for problem in caught.value.problems}
+    assert set(problems) == {
         "switches[0].rate", "switches[0].raet", "switches[1].depot", "switches[1].queue_limit",
         "switches[1].other.share", "groups[0].ends", "groups[0].circuits", "work.look",
     }  # fmt: skip
-    assert all(trouble.place.file == "bad.cue" for trouble in told.values())
-    assert told["switches[0].rate"].place.line == 2 and told["groups[0].circuits"].place.line == 5
+    assert all(problem.position.file == "bad.cue" for problem in problems.values())
+    assert (
+        problems["switches[0].rate"].position.line == 2 and problems["groups[0].circuits"].position.line == 5
+    )
 
 
 @given(JSON)
-def test_json_is_a_record(value):
+def test_json_is_a_valid_record(value):
     assert records.loads(json.dumps({"a": value}))["a"] == value
 
 
 @given(JSON, JSON)
-def test_unification_does_not_mind_the_order(a, b):
-    def both(one, other):
+def test_unification_is_commutative_and_idempotent(a, b):
+    def unify(first, second):
         try:
-            return records.loads(f"a: {json.dumps(one)}\na: {json.dumps(other)}")["a"]
+            return records.loads(f"a: {json.dumps(first)}\na: {json.dumps(second)}")["a"]
         except records.RecordError:
             return "none"
 
-    assert both(a, b) == both(b, a)
-    assert both(a, a) == a
+    assert unify(a, b) == unify(b, a)
+    assert unify(a, a) == a
 
 
 @settings(max_examples=300)
 @given(st.text(alphabet='ab#:{}[]"|&*<>=.,?123ms \n/_-', max_size=40))
-def test_whatever_is_written_only_a_record_error_comes(text):
+def test_arbitrary_text_raises_only_record_errors(text):
     try:
         records.loads(text, "fleet")
     except records.RecordError as error:
         assert error.problems
 
 
-def test_a_load_reads_back_as_it_was_written():
+def test_a_load_round_trips():
     fleet = fleet_from_record(records.load(EXAMPLES / "fleet.cue", "fleet"))
     load = load_from_record(records.load(EXAMPLES / "load.cue", "load"), fleet)
-    again = load_from_record(records.loads(json.dumps(record_from_load(load)), "load"), fleet)
-    assert again == load and 57 < load.total_calls / load.span_s < 59
+    reloaded = load_from_record(records.loads(json.dumps(record_from_load(load)), "load"), fleet)
+    assert reloaded == load and 57 < load.total_calls / load.span_s < 59
     assert len(fleet.switches) == 7 and len(fleet.depots) == 4 and len(fleet.groups) == 21
 
 
-def test_what_contradicts_between_files_is_told_all_at_once():
+def test_contradictions_within_and_between_fleet_and_load_are_reported_together():
     fleet = {
         "switches": [{"name": "a", "depot": "x", "rate": 5}, {"name": "a", "depot": "x", "rate": 5}],
         "groups": [{"ends": ["a", "b"], "circuits": 1}, {"ends": ["a", "a"], "circuits": 1}],
@@ -154,19 +156,19 @@
     }
     with pytest.raises(PlanError) as caught:
         fleet_from_record(records.loads(json.dumps(fleet), "fleet"))
-    told = "\n".join(caught.value.problems)
+    text = "\n".join(caught.value.problems)
     for path in ("switches[1].name", "switches[0].depot", "groups[0].ends", "groups[1].ends"):
-        assert path in told
+        assert path in text
     load = """windows: [1s, 2s], classes: [{name: "c", hold: 1s, aim: 9s, deadline: 3s}]
 streams: [{from: "a", to: "a", class: "d", calls: [1]}]"""
     with pytest.raises(PlanError) as caught:
         load_from_record(records.loads(load, "load"))
-    assert [one.split(":")[0] for one in caught.value.problems] == [
+    assert [problem.split(":")[0] for problem in caught.value.problems] == [
         "classes[0].aim", "streams[0].to", "streams[0].class", "streams[0].calls",
     ]  # fmt: skip
 
 
-def test_the_command_checks_and_shows(tmp_path):
+def test_the_command_checks_and_shows_records(tmp_path):
     assert tool("records", "check", str(EXAMPLES / "fleet.cue"), "--schema", "fleet").returncode == 0
     assert (
         json.loads(tool("records", "show", str(EXAMPLES / "load.cue"), "--schema", "load").stdout)["windows"]
@@ -174,7 +176,7 @@
     )
     bad = tmp_path / "bad.cue"
     bad.write_text("switches: 3")
-    found = tool("records", "check", str(bad), "--schema", "fleet")
-    assert found.returncode == 2 and f"{bad}:1:11: switches" in found.stderr
+    result = tool("records", "check", str(bad), "--schema", "fleet")
+    assert result.returncode == 2 and f"{bad}:1:11: switches" in result.stderr
     assert tool("records", "check", str(tmp_path / "none"), "--schema", "fleet").returncode == 2
-    assert "there are fleet, load" in tool("records", "check", str(bad), "--schema", "flet").stderr
+    assert "available: fleet, load" in tool("records", "check", str(bad), "--schema", "flet").stderr
