--- a/tansyspur/cli/__init__.py
+++ b/tansyspur/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The sub-commands of the operators' tools; each module is imported only when its command is called."""
+"""Sub-commands of the operators' tools. A module is imported only when one of its commands runs."""
--- a/tansyspur/cli/logs.py
+++ b/tansyspur/cli/logs.py
@@ -1,4 +1,4 @@
-"""The tools' log, to standard error: for people, as JSON, or as RFC 5424 lines."""
+"""Configures the log of the tools, which goes to standard error: for people, as JSON, or as RFC 5424 lines."""
 
 import logging
 import socket
@@ -13,8 +13,8 @@
 FORMATS = ("console", "json", "rfc5424")
 
 
-class Rfc5424:
-    """A structlog renderer: the event is the message, its values are the structured data."""
+class Rfc5424Renderer:
+    """A structlog renderer: the event becomes the message, its other values the structured data."""
 
     def __init__(self) -> None:
         self.syslog = Syslog(socket.gethostname(), app="tansyspur-tool")
@@ -24,11 +24,12 @@
         return self.syslog.format(SEVERITIES.get(level, 6), "tool", text, dict(event))
 
 
-def set_up(log_format: str, verbose: bool = False) -> None:
+def configure(log_format: str, verbose: bool = False) -> None:
+    """Configures structlog; `log_format` is one of FORMATS. Debug lines are logged only if `verbose` is set."""
     renderers: dict[str, list[Any]] = {
         "console": [structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())],
         "json": [structlog.processors.TimeStamper(fmt="iso"), structlog.processors.JSONRenderer()],
-        "rfc5424": [Rfc5424()],
+        "rfc5424": [Rfc5424Renderer()],
     }
     structlog.configure(
         processors=[structlog.processors.add_log_level, *renderers[log_format]],
--- a/tansyspur/cli/main.py
+++ b/tansyspur/cli/main.py
@@ -1,4 +1,7 @@
-"""The command line: one group a concern, each in a module that is imported when it is called."""
+"""Entry point of the operators' tools: the top-level command, common options, and the errors with their exit codes.
+
+Each sub-command is in a module of its own, which is imported only when the sub-command is called.
+"""
 
 import importlib
 import sys
@@ -6,7 +9,7 @@
 
 import click
 
-GROUPS = {
+COMMAND_MODULES = {
     "plan": "tansyspur.cli.plan",
     "records": "tansyspur.cli.records",
     "rig": "tansyspur.cli.rig",
@@ -14,43 +17,46 @@
 }
 
 
-class Lazy(click.Group):
-    """Guards against loading the planner's libraries to print a help text."""
+class LazyGroup(click.Group):
+    """Imports a sub-command on first use, so that a call does not load the libraries of the other sub-commands."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted(GROUPS)
+        return sorted(COMMAND_MODULES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        place = GROUPS.get(cmd_name)
-        return getattr(importlib.import_module(place), cmd_name) if place else None
+        module = COMMAND_MODULES.get(cmd_name)
+        return getattr(importlib.import_module(module), cmd_name) if module else None
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
+@click.group(
+    cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100}
+)
 @click.option("--log-format", type=click.Choice(["console", "json", "rfc5424"]), default="console")
-@click.option("-v", "--verbose", is_flag=True, help="Log what the tool does, too.")
+@click.option("-v", "--verbose", is_flag=True, help="Also log debug messages.")
 @click.version_option(package_name="tansyspur")
 def cli(log_format: str, verbose: bool) -> None:
-    """The gatekeeper's tools. Without a sub-command, `tansyspur` is the gatekeeper itself.
+    """The gatekeeper's tools. Without a sub-command, `tansyspur` runs the gatekeeper itself.
 
-    Exit codes: 0 done, 1 cannot, 2 unusable input.
+    Exit codes: 0 success, 1 the command failed, 2 invalid input.
     """
     from tansyspur.cli import logs
 
-    logs.set_up(log_format, verbose)
+    logs.configure(log_format, verbose)
 
 
 def main(arguments: list[str]) -> int:
+    """Runs the command line and returns the exit code. Errors are printed to standard error."""
     try:
         return cli.main(arguments, prog_name="tansyspur", standalone_mode=False) or 0
-    except click.exceptions.Exit as end:
-        return end.exit_code
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
     except click.Abort:
         print("tansyspur: interrupted", file=sys.stderr)
         return 1
     except click.ClickException as error:
         error.show()
         return error.exit_code
-    except BrokenPipeError:  # the reader has had enough, as `head` does
+    except BrokenPipeError:  # the reader of a pipe closed it early, as `head` does
         sys.stderr.close()
         return 1
 
@@ -60,21 +66,23 @@
     "form",
     type=click.Choice(["table", "json"]),
     default="table",
-    help="For people, or for programs.",
+    help="Output for people (table) or for programs (json).",
 )
 
 
-class Unusable(click.ClickException):
-    """Input that cannot be used; the text names file, key or line."""
+class InputError(click.ClickException):
+    """Invalid input; the text names the option, file, key or line. Ends the program with exit code 2."""
 
     exit_code = 2
 
 
-class Cannot(click.ClickException):
+class CommandFailed(click.ClickException):
+    """The command failed with valid input. Ends the program with exit code 1."""
+
     exit_code = 1
 
 
-def as_json(found: Any) -> None:
+def print_json(answer: Any) -> None:
     import msgspec
 
-    click.echo(msgspec.json.encode(found, enc_hook=float))  # numpy's numbers
+    click.echo(msgspec.json.encode(answer, enc_hook=float))  # the hook converts numpy scalars
--- a/tansyspur/cli/plan.py
+++ b/tansyspur/cli/plan.py
@@ -1,4 +1,4 @@
-"""`tansyspur plan`: the questions to the planner."""
+"""`tansyspur plan`: forecasts, sizing and comparison of fleets, with the planner."""
 
 import json
 import os
@@ -6,130 +6,134 @@
 
 import click
 
-from tansyspur.cli.main import FORMAT, Cannot, Unusable, as_json
-from tansyspur.cli.records import read_plan
+from tansyspur.cli.main import FORMAT, CommandFailed, InputError, print_json
+from tansyspur.cli.records import read_fleet_and_load
 
-SCALE = click.option("--scale", type=click.FloatRange(0.001, 100), default=1.0, help="How much of the load.")
-GOAL = click.option(
-    "--goal", type=click.FloatRange(0, 1), default=0.95, help="The service that is wanted, 0 to 1."
-)
+SCALE = click.option("--scale", type=click.FloatRange(0.001, 100), default=1.0, help="Factor for the load.")
+GOAL = click.option("--goal", type=click.FloatRange(0, 1), default=0.95, help="The service to reach, 0 to 1.")
 
 
 @click.group()
 def plan() -> None:
-    """What a fleet of store switches will do under a load.
+    """Forecast how a fleet of store switches performs under a load.
 
     Example: tansyspur plan forecast examples/core-stores/fleet.cue examples/core-stores/load.cue
     """
-    # Small matrices: threads of the linear algebra would only wait for each other.
+    # The matrices are small: threads of the linear algebra library would only wait for each other.
     os.environ.setdefault("OMP_NUM_THREADS", "1")
     os.environ.setdefault("OPENBLAS_NUM_THREADS", "1")
 
 
 @plan.command()
 @click.option("--offered", type=float, required=True, help="The offered load, in erlang.")
-@click.option("--circuits", type=int, help="How large the trunk group is.")
-@click.option("--blocking", type=float, help="The share of calls that may be lost.")
+@click.option("--circuits", type=int, help="Size of the trunk group.")
+@click.option("--blocking", type=float, help="Largest share of calls that may be blocked.")
 @FORMAT
 def erlang(offered: float, circuits: int | None, blocking: float | None, form: str) -> None:
-    """Erlang B: the blocking of a trunk group, or the least circuits for a blocking.
+    """Erlang B: the blocking of a trunk group, or the fewest circuits for a given blocking.
 
     Example: tansyspur plan erlang --offered 20 --circuits 30
     """
     from tansyspur.planner import erlang as formulas
 
     if (circuits is None) is (blocking is None):
-        raise Unusable("give one of --circuits and --blocking")
+        raise InputError("give either --circuits or --blocking")
     try:
         if circuits is not None:
-            found = {"blocking": formulas.blocking(offered, circuits)}
+            answer = {"blocking": formulas.blocking(offered, circuits)}
         else:
-            found = {"circuits": formulas.circuits_for(offered, blocking or 0.0)}
+            answer = {"circuits": formulas.circuits_for(offered, blocking or 0.0)}
     except ValueError as error:
-        raise Unusable(f"--{error}") from None
+        raise InputError(f"--{error}") from None
     if form == "json":
-        as_json(found)
+        print_json(answer)
     else:
-        (name, value), *_ = found.items()
+        (name, value), *_ = answer.items()
         click.echo(f"{name}: {value:.6g}")
 
 
-def as_told(found) -> dict:
-    """A forecast as programs read it."""
+def forecast_to_dict(result) -> dict:
+    """The JSON form of a forecast."""
     return {
-        "service": found.service,
-        "band": list(found.band),
-        "service_by_class": found.service_by_class,
-        "worst_class": found.worst_class,
-        "service_by_depot": found.service_by_depot,
+        "service": result.service,
+        "band": list(result.band),
+        "service_by_class": result.service_by_class,
+        "worst_class": result.worst_class,
+        "service_by_depot": result.service_by_depot,
         "service_by_pair": [
-            {"from": a, "to": b, "service": x} for (a, b), x in found.service_by_pair.items()
+            {"from": a, "to": b, "service": service} for (a, b), service in result.service_by_pair.items()
         ],
-        "groups": found.groups,
-        "switches": found.switches,
-        "tandem": found.tandem_share,
-        "late": found.late_share,
-        "residual": found.residual,
-        "converged": found.converged,
-        "fixed_points": found.fixed_points,
+        "groups": result.groups,
+        "switches": result.switches,
+        "tandem": result.tandem_share,
+        "late": result.late_share,
+        "residual": result.residual,
+        "converged": result.converged,
+        "fixed_points": result.fixed_points,
         "moments": [
-            {"at_s": m.at_s, "service": m.earned / m.offered if m.offered else 1.0, "busy": m.busy_share}
-            for m in found.moments
+            {
+                "at_s": moment.at_s,
+                "service": moment.earned / moment.offered if moment.offered else 1.0,
+                "busy": moment.busy_share,
+            }
+            for moment in result.moments
         ],
-        "notes": found.notes,
+        "notes": result.notes,
     }
 
 
-def in_words(found, most: int = 6) -> str:
-    low, high = found.band
+def format_forecast(result, max_groups: int = 6) -> str:
+    """A forecast as text, with the groups of the highest blocking."""
+    low, high = result.band
     lines = [
-        f"service {100 * found.service:.1f} of 100; one such run shows {100 * low:.1f} to {100 * high:.1f}",
-        *(f"  {name:24} {100 * value:6.1f}" for name, value in found.service_by_class.items()),
-        "by depot: " + ", ".join(f"{name} {100 * x:.1f}" for name, x in found.service_by_depot.items()),
-        f"{100 * found.tandem_share:.1f}% of the calls in time stand over a tandem, "
-        f"{100 * found.late_share:.1f}% stand late",
+        f"service {100 * result.service:.1f}%; 95% of such runs measure {100 * low:.1f}% to {100 * high:.1f}%",
+        *(f"  {name:24} {100 * value:6.1f}" for name, value in result.service_by_class.items()),
+        "by depot: "
+        + ", ".join(f"{name} {100 * service:.1f}" for name, service in result.service_by_depot.items()),
+        f"{100 * result.tandem_share:.1f}% of the calls answered in time use a tandem, "
+        f"{100 * result.late_share:.1f}% are answered late",
         f"{'group':30} {'circuits':>8} {'offered':>9} {'full':>6}",
     ]
-    for row in sorted(found.groups, key=lambda row: -row["blocking"])[:most]:
+    for row in sorted(result.groups, key=lambda row: -row["blocking"])[:max_groups]:
         ends = " - ".join(row["ends"])
-        offered, full = f"{row['offered_erl']:.1f} erl", f"{100 * row['blocking']:.1f}%"
-        lines.append(f"{ends:30} {row['circuits']:8} {offered:>9} {full:>6}")
-    state = "converged" if found.converged else "did NOT converge"
-    lines.append(f"the iteration {state}, residual {found.residual:.1e}")
-    return "\n".join([*lines, *found.notes])
+        offered, blocked = f"{row['offered_erl']:.1f} erl", f"{100 * row['blocking']:.1f}%"
+        lines.append(f"{ends:30} {row['circuits']:8} {offered:>9} {blocked:>6}")
+    state = "converged" if result.converged else "did NOT converge"
+    lines.append(f"the fixed-point iteration {state}, residual {result.residual:.1e}")
+    return "\n".join([*lines, *result.notes])
 
 
 @plan.command()
 @click.argument("fleet")
 @click.argument("load")
 @SCALE
-@click.option("--without-depot", multiple=True, help="As if this depot were lost; may be given again.")
-@click.option("--without-switch", multiple=True, help="The same for a switch.")
-@click.option("--report", type=click.Path(file_okay=False), help="Folder for one HTML page with charts.")
+@click.option("--without-depot", multiple=True, help="Leave out this depot; may be given several times.")
+@click.option("--without-switch", multiple=True, help="Leave out this switch; may be given several times.")
+@click.option("--report", type=click.Path(file_okay=False), help="Folder for an HTML report with charts.")
 @FORMAT
 def forecast(fleet, load, scale, without_depot, without_switch, report, form) -> None:
-    """Service, by class, depot, pair and group.
+    """Forecast the service, by class, depot, pair and group.
 
     Example: tansyspur plan forecast examples/core-stores/fleet.cue examples/core-stores/load.cue --scale 1.1
     """
     from tansyspur.planner.fleet import PlanError
-    from tansyspur.planner.forecast import forecast as make
+    from tansyspur.planner.forecast import forecast as compute_forecast
 
-    known, asked = read_plan(fleet, load)
+    fleet_model, load_model = read_fleet_and_load(fleet, load)
     try:
-        known = known.without(without_depot, without_switch)
+        fleet_model = fleet_model.without(without_depot, without_switch)
     except PlanError as error:
-        raise Unusable(str(error)) from None
-    found = make(known, asked.scaled(scale))
+        raise InputError(str(error)) from None
+    result = compute_forecast(fleet_model, load_model.scaled(scale))
     if report:
         from tansyspur.report import page
 
         try:
-            path = page.write_report(Path(report), known, asked, scale, found)
+            path = page.write_report(Path(report), fleet_model, load_model, scale, result)
         except OSError as error:
-            raise Unusable(f"--report: {error}") from None
+            raise InputError(f"--report: {error}") from None
         click.echo(f"report: {path}", err=True)
-    as_json(as_told(found)) if form == "json" else click.echo(in_words(found))
+    print_json(forecast_to_dict(result)) if form == "json" else click.echo(format_forecast(result))
 
 
 @plan.command()
@@ -138,31 +142,36 @@
 @GOAL
 @FORMAT
 def breaks(fleet, load, goal, form) -> None:
-    """Raise the load until the goal is missed; say at what load, and what gives way first, with the next three.
+    """Raise the load until the goal is missed; show that load and the four worst bottlenecks.
 
     Example: tansyspur plan breaks examples/core-stores/fleet.cue examples/core-stores/load.cue --goal 0.95
     """
     from tansyspur.planner import questions
 
-    known, asked = read_plan(fleet, load)
-    found = questions.breaks(known, asked, goal)
+    fleet_model, load_model = read_fleet_and_load(fleet, load)
+    result = questions.breaks(fleet_model, load_model, goal)
     if form == "json":
-        return as_json(
+        return print_json(
             {
-                "scale": found.scale if found else None,
-                "service": found.service if found else None,
-                "first": [{"kind": x.kind, "name": x.name, "strain": x.refused_share} for x in found.first]
-                if found
+                "scale": result.scale if result else None,
+                "service": result.service if result else None,
+                "first": [
+                    {"kind": bottleneck.kind, "name": bottleneck.name, "strain": bottleneck.refused_share}
+                    for bottleneck in result.first
+                ]
+                if result
                 else [],
             }
         )
-    if found is None:
-        return click.echo(f"the goal holds up to {questions.MAX_SCALE:g} times the load")
+    if result is None:
+        return click.echo(f"the goal is met up to {questions.MAX_SCALE:g} times the load")
     click.echo(
-        f"at {found.scale:.2f} times the load, service {100 * found.service:.1f} is under {100 * goal:g}"
+        f"at {result.scale:.2f} times the load, service {100 * result.service:.1f}% is below {100 * goal:g}%"
     )
-    for one in found.first:
-        click.echo(f"  {one.kind:10} {one.name:30} refuses or holds back {100 * one.refused_share:.1f}%")
+    for bottleneck in result.first:
+        click.echo(
+            f"  {bottleneck.kind:10} {bottleneck.name:30} refuses or holds back {100 * bottleneck.refused_share:.1f}%"
+        )
 
 
 @plan.command()
@@ -172,30 +181,30 @@
 @SCALE
 @FORMAT
 def lose(fleet, load, depot, scale, form) -> None:
-    """What losing DEPOT does, to its own calls and to the others'.
+    """Forecast the effect of losing DEPOT, on all calls and on those between the other depots.
 
     Example: tansyspur plan lose examples/core-stores/fleet.cue examples/core-stores/load.cue agadir
     """
     from tansyspur.planner.fleet import PlanError
-    from tansyspur.planner.forecast import forecast as make
+    from tansyspur.planner.forecast import forecast as compute_forecast
 
-    known, asked = read_plan(fleet, load)
-    asked = asked.scaled(scale)
+    fleet_model, load_model = read_fleet_and_load(fleet, load)
+    load_model = load_model.scaled(scale)
     try:
-        rest = known.without(depots=[depot])
+        rest = fleet_model.without(depots=[depot])
     except PlanError as error:
-        raise Unusable(str(error)) from None
-    before, after = make(known, asked), make(rest, asked)
-    others = make(rest, asked.restricted_to(rest.names))
-    told = {
+        raise InputError(str(error)) from None
+    before, after = compute_forecast(fleet_model, load_model), compute_forecast(rest, load_model)
+    others = compute_forecast(rest, load_model.restricted_to(rest.names))
+    answer = {
         "service_before": before.service,
         "service_after": after.service,
         "service_of_the_rest": others.service,
     }
     if form == "json":
-        return as_json(told)
-    click.echo(f"service {100 * before.service:.1f} with {depot}, {100 * after.service:.1f} without it;")
-    click.echo(f"of the calls between the other depots, {100 * others.service:.1f}")
+        return print_json(answer)
+    click.echo(f"service {100 * before.service:.1f}% with {depot}, {100 * after.service:.1f}% without it;")
+    click.echo(f"for the calls between the other depots, {100 * others.service:.1f}%")
 
 
 @plan.command()
@@ -203,11 +212,15 @@
 @click.argument("load")
 @GOAL
 @SCALE
-@click.option("--lose", type=click.Choice(["switch", "depot"]), help="Also with any one of these lost.")
-@click.option("--most", type=click.IntRange(2, 64), default=16, help="The most switches to try.")
+@click.option(
+    "--lose",
+    type=click.Choice(["switch", "depot"]),
+    help="Meet the goal also with any one switch, or depot, lost.",
+)
+@click.option("--most", type=click.IntRange(2, 64), default=16, help="Largest number of switches to try.")
 @FORMAT
 def size(fleet, load, goal, scale, lose, most, form) -> None:
-    """The fewest switches, and circuits for each group, that meet the goal.
+    """Find the fewest switches, and the circuits of each group, that meet the goal.
 
     Example: tansyspur plan size examples/core-stores/fleet.cue examples/core-stores/load.cue --goal 0.98 --lose switch
     """
@@ -215,31 +228,38 @@
 
     from tansyspur.planner import questions
 
-    known, asked = read_plan(fleet, load)
+    fleet_model, load_model = read_fleet_and_load(fleet, load)
     log = structlog.get_logger()
-    found = questions.size(known, asked.scaled(scale), goal, lose or "", most, lambda text: log.debug(text))
-    told = {
-        "met": found.met,
-        "switches": found.switches,
-        "least_switches": found.min_switches,
-        "service": found.service,
-        "worst_loss": found.worst_loss,
-        "why": found.reason,
-        "circuits": sum(found.circuits.values()),
-        "groups": [{"ends": list(ends), "circuits": n} for ends, n in found.circuits.items()],
+    result = questions.size(
+        fleet_model, load_model.scaled(scale), goal, lose or "", most, lambda text: log.debug(text)
+    )
+    answer = {
+        "met": result.met,
+        "switches": result.switches,
+        "least_switches": result.min_switches,
+        "service": result.service,
+        "worst_loss": result.worst_loss,
+        "why": result.reason,
+        "circuits": sum(result.circuits.values()),
+        "groups": [{"ends": list(ends), "circuits": circuits} for ends, circuits in result.circuits.items()],
     }
     if form == "json":
-        as_json(told)
+        print_json(answer)
     else:
-        verdict = "meet the goal" if found.met else "are the best that was found, and do NOT meet the goal"
+        verdict = "meet the goal" if result.met else "are the best that was found, and do NOT meet the goal"
         click.echo(
-            f"{found.switches} switches with {told['circuits']} circuits {verdict}: {100 * found.service:.1f}"
+            f"{result.switches} switches with {answer['circuits']} circuits {verdict}: "
+            f"service {100 * result.service:.1f}%"
         )
-        if found.worst_loss:
-            click.echo(f"the worst loss is that of {found.worst_loss}")
-        click.echo(f"no fewer than {found.min_switches} can: {found.reason}" if found.met else found.reason)
-    if not found.met:
-        raise Cannot(f"the goal of {100 * goal:g} is out of reach: {found.reason}")
+        if result.worst_loss:
+            click.echo(f"the loss of {result.worst_loss} does the most harm")
+        click.echo(
+            f"at least {result.min_switches} switches are needed: {result.reason}"
+            if result.met
+            else result.reason
+        )
+    if not result.met:
+        raise CommandFailed(f"the goal of {100 * goal:g}% cannot be met: {result.reason}")
 
 
 @plan.command()
@@ -249,63 +269,69 @@
 @SCALE
 @FORMAT
 def compare(a, b, load, scale, form) -> None:
-    """Two fleets under one load.
+    """Compare the service of two fleets under one load.
 
     Example: tansyspur plan compare fleet.cue fleet-even.cue load.cue
     """
-    from tansyspur.planner.forecast import forecast as make
+    from tansyspur.planner.forecast import forecast as compute_forecast
 
-    found = {}
+    results = {}
     for path in (a, b):
-        known, asked = read_plan(path, load)
-        found[path] = make(known, asked.scaled(scale))
+        fleet_model, load_model = read_fleet_and_load(path, load)
+        results[path] = compute_forecast(fleet_model, load_model.scaled(scale))
     if form == "json":
-        return as_json({path: as_told(one) for path, one in found.items()})
-    first, second = found.values()
+        return print_json({path: forecast_to_dict(result) for path, result in results.items()})
+    first, second = results.values()
     click.echo(f"{'':26} {Path(a).stem:>14} {Path(b).stem:>14} {'difference':>10}")
     rows = [("service", first.service, second.service)]
-    rows += [(name, x, second.service_by_class[name]) for name, x in first.service_by_class.items()]
     rows += [
-        (name, x, second.service_by_depot[name])
-        for name, x in first.service_by_depot.items()
+        (name, service, second.service_by_class[name]) for name, service in first.service_by_class.items()
+    ]
+    rows += [
+        (name, service, second.service_by_depot[name])
+        for name, service in first.service_by_depot.items()
         if name in second.service_by_depot
     ]
-    for name, x, y in rows:
-        click.echo(f"{name:26} {100 * x:14.1f} {100 * y:14.1f} {100 * (y - x):+10.1f}")
+    for name, first_service, second_service in rows:
+        click.echo(
+            f"{name:26} {100 * first_service:14.1f} {100 * second_service:14.1f} "
+            f"{100 * (second_service - first_service):+10.1f}"
+        )
 
 
 @plan.command()
 @click.argument("logs", nargs=-1, required=True)
-@click.option("--like", required=True, help="A load file whose classes and redials are taken over.")
-@click.option("--fleet", required=True, help="The fleet, for the names of its switches, in its order.")
-@click.option("--window", type=click.FloatRange(1), default=60.0, help="Seconds a window.")
+@click.option("--like", required=True, help="A load file to take the classes and the redial behaviour from.")
+@click.option("--fleet", required=True, help="The fleet file, for the names and the order of its switches.")
+@click.option("--window", type=click.FloatRange(1), default=60.0, help="Length of a window, in seconds.")
 @click.option("--out", required=True, help="The load file to write.")
 def capture(logs, like, fleet, window, out) -> None:
-    """A load from the gatekeepers' call records (the [records] file of each).
+    """Derive a load from the gatekeepers' call detail records (the [records] file of each).
 
-    Redials count with their first try. What is missing, spoilt or too little is said, and stands in the file's notes.
+    Redials count with their first try. Missing or malformed records, and samples that are too small, are reported,
+    and noted in the file that is written.
 
     Example: tansyspur plan capture rig-run/calls-*.log --fleet fleet.cue --like load.cue --out measured.json
     """
-    from tansyspur.planner import capture as reader
+    from tansyspur.planner import capture as capture_module
     from tansyspur.planner.fleet import record_from_load
 
-    known, model = read_plan(fleet, like)
+    fleet_model, like_load = read_fleet_and_load(fleet, like)
     sources = {}
     for path in logs:
         try:
             sources[path] = Path(path).read_text(errors="replace").splitlines()
         except OSError as error:
-            raise Unusable(f"{path}: {error.strerror}") from None
+            raise InputError(f"{path}: {error.strerror}") from None
     try:
-        found = reader.capture(sources, known.names, model, window)
+        result = capture_module.capture(sources, fleet_model.names, like_load, window)
     except ValueError as error:
-        raise Unusable(str(error)) from None
-    Path(out).write_text(json.dumps(record_from_load(found.load), indent=1) + "\n")
+        raise InputError(str(error)) from None
+    Path(out).write_text(json.dumps(record_from_load(result.load), indent=1) + "\n")
     click.echo(
-        f"{out}: {found.first_tries} calls, {found.redials} redials counted with them, {found.windows} windows"
+        f"{out}: {result.first_tries} calls, {result.redials} redials counted as part of them, {result.windows} windows"
     )
-    for note in found.load.notes:
+    for note in result.load.notes:
         click.echo(f"  {note}")
 
 
@@ -313,17 +339,21 @@
 @click.argument("fleet")
 @click.argument("load")
 @click.option(
-    "--scale", "scales", multiple=True, type=float, help="May be given again; 0.9, 1.1, 1.2 if left out."
+    "--scale",
+    "scales",
+    multiple=True,
+    type=float,
+    help="Factor for the load; may be given several times; 0.9, 1.1 and 1.2 if left out.",
 )
 @click.option("--seeds", type=click.IntRange(1, 20), default=1)
 @click.option("--seconds", type=click.FloatRange(1, 3600))
 @click.option(
-    "--jobs", type=click.IntRange(1, 16), default=2, help="Runs side by side; each takes about a core."
+    "--jobs", type=click.IntRange(1, 16), default=2, help="Concurrent runs; each takes about one core."
 )
 @click.option("--out", type=click.Path(file_okay=False), default="plan-verify")
 @FORMAT
 def verify(fleet, load, scales, seeds, seconds, jobs, out, form) -> None:
-    """Forecast beside runs of the rig, with the difference in points.
+    """Compare forecasts with runs of the rig; the difference is in percentage points.
 
     Example: tansyspur plan verify examples/core-stores/fleet.cue examples/core-stores/load.cue --scale 1.1 --seeds 3
     """
@@ -331,10 +361,10 @@
     import sys
     from concurrent.futures import ThreadPoolExecutor
 
-    from tansyspur.planner.forecast import forecast as make
+    from tansyspur.planner.forecast import forecast as compute_forecast
     from tansyspur.planner.forecast import truncate_load
 
-    known, asked = read_plan(fleet, load)
+    fleet_model, load_model = read_fleet_and_load(fleet, load)
 
     def run(job):
         scale, seed = job
@@ -342,29 +372,32 @@
         command = [sys.executable, "-m", "tansyspur", "rig", "run", fleet, load, "--scale", str(scale)]
         command += ["--seed", str(seed), "--out", str(folder), "--format", "json"]
         command += ["--seconds", str(seconds)] if seconds else []
-        ended = subprocess.run(command, capture_output=True, text=True)
-        if ended.returncode:
-            raise Cannot(
-                f"the run at {scale:g} with seed {seed} failed: {ended.stderr.strip().splitlines()[-1:]}"
+        process = subprocess.run(command, capture_output=True, text=True)
+        if process.returncode:
+            raise CommandFailed(
+                f"the run at scale {scale:g} with seed {seed} failed: {process.stderr.strip().splitlines()[-1:]}"
             )
-        return scale, seed, json.loads(ended.stdout)
+        return scale, seed, json.loads(process.stdout)
 
-    work = [(scale, seed) for scale in scales or (0.9, 1.1, 1.2) for seed in range(1, seeds + 1)]
+    jobs_to_run = [(scale, seed) for scale in scales or (0.9, 1.1, 1.2) for seed in range(1, seeds + 1)]
     with ThreadPoolExecutor(jobs) as pool:
-        measured = list(pool.map(run, work))
-    forecasts = {scale: make(known, truncate_load(asked, seconds).scaled(scale)) for scale, _ in work}
+        measured = list(pool.map(run, jobs_to_run))
+    forecasts = {
+        scale: compute_forecast(fleet_model, truncate_load(load_model, seconds).scaled(scale))
+        for scale, _ in jobs_to_run
+    }
     rows = [
         {
-            "scale": scale, "seed": seed, "forecast": forecasts[scale].service, "measured": told["service"],
-            "difference": 100 * (forecasts[scale].service - told["service"]), "late_ms": told["late_ms"],
+            "scale": scale, "seed": seed, "forecast": forecasts[scale].service, "measured": summary["service"],
+            "difference": 100 * (forecasts[scale].service - summary["service"]), "late_ms": summary["late_ms"],
         }
-        for scale, seed, told in measured
+        for scale, seed, summary in measured
     ]  # fmt: skip
-    mean = sum(abs(row["difference"]) for row in rows) / len(rows)
+    mean_difference = sum(abs(row["difference"]) for row in rows) / len(rows)
     if form == "json":
-        return as_json({"runs": rows, "mean_difference": mean})
+        return print_json({"runs": rows, "mean_difference": mean_difference})
     click.echo(f"{'load':>6} {'seed':>5} {'forecast':>9} {'measured':>9} {'points':>7}")
     for row in rows:
-        both = f"{100 * row['forecast']:9.1f} {100 * row['measured']:9.1f}"
-        click.echo(f"{row['scale']:6g} {row['seed']:5} {both} {row['difference']:+7.1f}")
-    click.echo(f"mean of the absolute differences: {mean:.2f} points")
+        columns = f"{100 * row['forecast']:9.1f} {100 * row['measured']:9.1f}"
+        click.echo(f"{row['scale']:6g} {row['seed']:5} {columns} {row['difference']:+7.1f}")
+    click.echo(f"mean absolute difference: {mean_difference:.2f} percentage points")
--- a/tansyspur/cli/records.py
+++ b/tansyspur/cli/records.py
@@ -1,36 +1,37 @@
-"""`tansyspur records`: typed records on their own."""
+"""`tansyspur records`: checks and prints typed records and their schemas."""
 
 import click
 
-from tansyspur.cli.main import Unusable, as_json
+from tansyspur.cli.main import InputError, print_json
 
 
-def read(path: str, schema: str | None):
-    from tansyspur import records as typed
+def read_record(path: str, schema: str | None):
+    """The record in a file as plain data. Raises InputError with all its problems."""
+    from tansyspur import records as typed_records
 
     try:
-        return typed.load(path, schema)
-    except (typed.RecordError, ValueError) as error:
-        raise Unusable(str(error)) from None
+        return typed_records.load(path, schema)
+    except (typed_records.RecordError, ValueError) as error:
+        raise InputError(str(error)) from None
 
 
-def read_plan(fleet_path: str, load_path: str):
-    """A fleet and a load, checked against each other."""
+def read_fleet_and_load(fleet_path: str, load_path: str):
+    """The Fleet and the Load in two files, checked against each other. Raises InputError with all problems."""
     from tansyspur.planner.fleet import PlanError, fleet_from_record, load_from_record
 
-    fleet_record, load_record = read(fleet_path, "fleet"), read(load_path, "load")
+    fleet_record, load_record = read_record(fleet_path, "fleet"), read_record(load_path, "load")
     path = fleet_path
     try:
         fleet = fleet_from_record(fleet_record)
         path = load_path
         return fleet, load_from_record(load_record, fleet)
     except PlanError as error:
-        raise Unusable("\n".join(f"{path}: {one}" for one in error.problems)) from None
+        raise InputError("\n".join(f"{path}: {problem}" for problem in error.problems)) from None
 
 
 @click.group()
 def records() -> None:
-    """Typed records: what staff write, checked against the schemas of the package.
+    """Typed records, the files that staff write, and the schemas of the package that they are checked against.
 
     Example: tansyspur records check fleet.cue --schema fleet
     """
@@ -38,32 +39,34 @@
 
 @records.command()
 @click.argument("file")
-@click.option("--schema", required=True, help="fleet, load, ...")
+@click.option("--schema", required=True, help="Name of a schema: fleet, load, ...")
 def check(file: str, schema: str) -> None:
-    """Say all that is wrong with FILE, each with line, column and path.
+    """Report every problem of FILE, each with line, column and path.
 
     Example: tansyspur records check examples/core-stores/fleet.cue --schema fleet
     """
-    record = read(file, schema)
+    record = read_record(file, schema)
     if schema in ("fleet", "load"):
-        from tansyspur.planner import fleet as plans
+        from tansyspur.planner import fleet as fleet_module
 
         try:
-            getattr(plans, f"{schema}_from_record")(record)
-        except plans.PlanError as error:
-            raise Unusable("\n".join(f"{file}: {one}" for one in error.problems)) from None
-    click.echo(f"{file}: as the schema {schema} wants it")
+            getattr(fleet_module, f"{schema}_from_record")(record)
+        except fleet_module.PlanError as error:
+            raise InputError("\n".join(f"{file}: {problem}" for problem in error.problems)) from None
+    click.echo(f"{file}: valid against the schema {schema}")
 
 
 @records.command()
 @click.argument("file")
-@click.option("--schema", help="Without one, the file alone.")
+@click.option(
+    "--schema", help="Name of a schema to check FILE against and to take defaults from; none if left out."
+)
 def show(file: str, schema: str | None) -> None:
-    """FILE as JSON, with defaults filled in; times in seconds, loads in erlang.
+    """Print FILE as JSON, with defaults filled in, times in seconds and loads in erlang.
 
     Example: tansyspur records show examples/core-stores/load.cue --schema load
     """
-    as_json(read(file, schema))
+    print_json(read_record(file, schema))
 
 
 @records.command()
@@ -78,4 +81,4 @@
     try:
         click.echo(evaluate.schema_text(schema), nl=False)
     except ValueError as error:
-        raise Unusable(str(error)) from None
+        raise InputError(str(error)) from None
