--- a/tansyspur/records/syntax.py
+++ b/tansyspur/records/syntax.py
@@ -27,7 +27,7 @@
     "__ANON_0",
     "OPTIONAL",
 }
-MAX_DEPTH = 64  # of nested brackets; without a limit, a deeply nested file would exhaust the stack
+MAX_DEPTH = 64  # of nested brackets; a file that nests without end would otherwise exceed the recursion limit
 
 
 @dataclass(slots=True, frozen=True, order=True)
