--- a/tests/standing_trial.py
+++ b/tests/standing_trial.py
@@ -1,7 +1,8 @@
-"""A seeded trial of calls that stand: switches and discovery fail in any order, and each end must be told in time.
+"""Randomized test of standing calls: switches and discovery fail in any order; callers must get each release in time.
 
-The program runs as a process. Switches and discovery are reached through fault proxies; what each switch holds, and
-when that is over, is known here, and judged against what callers were told and when.
+The gatekeeper runs as a process and reaches the switches and the command channel through fault proxies. The trial
+records when each call ends on its stand-in switch, and compares this with the release that the caller received. All
+random choices come from one seeded generator.
 """
 
 import asyncio
@@ -17,33 +18,37 @@
 HOLD_S = 3.0  # mean holding time
 CALLS_PER_S = 20.0
 HANG_UP_SHARE = 0.15
-SLACK_S = 0.05  # of the protocol page
-UNSENT_TOLD_S = 8.0 + SLACK_S
-LAST_SET_UP_S = 2.5  # by then every set-up is answered or given up
-SETTLE_S = 8.5  # after the last end
-EARLIEST_KILL_S = 3.7  # after SIGTERM, as the longest deadline is over 3 s
-EARLY_WINDOW_S = 12.0  # a call may be told to be over that is not, so long after a fault of its switch
+SLACK_S = 0.05  # tolerance that the protocol specification allows
+MAX_NOTIFY_DELAY_S = 8.0 + SLACK_S  # limit for the caller's release when the switch could not deliver its own
+SET_UP_TAIL_S = 2.5  # within this time after the last set-up, every set-up is answered or given up
+SETTLE_S = 8.5  # wait after the last call has ended
+EARLIEST_KILL_S = 3.7  # after SIGTERM, because the longest deadline is over 3 s
+EARLY_WINDOW_S = 12.0  # a standing call may be reported as ended this long after a fault of its switch
 
 
 @dataclass
 class StandingCall:
+    """An answered call as its caller sees it; times are those of the event loop, in seconds."""
+
     switch: str
-    stood_at: float
-    over_at: float | None = None
-    told_at: float | None = None
+    answered_at: float
+    ended_at: float | None = None
+    released_at: float | None = None  # when the caller received the release
     hung_up: bool = False
 
 
 @dataclass
-class Record:
+class TrialRecord:
+    """Everything that a trial observed: calls at the callers, ends at the switches, and injected faults."""
+
     calls: dict[str, StandingCall] = field(default_factory=dict)
-    over: dict[tuple[str, str], float] = field(default_factory=dict)  # by switch and call
-    faults: list[tuple[float, str, str]] = field(default_factory=list)
+    ended_at: dict[tuple[str, str], float] = field(default_factory=dict)  # by switch and call
+    faults: list[tuple[float, str, str]] = field(default_factory=list)  # (time, switch or "discovery", fault)
     outcomes: Counter[str] = field(default_factory=Counter)
 
 
 class HeldCalls:
-    """In place of the stand-in's set of calls that are out: what a release or a cancel ends is over."""
+    """Replaces `Switch.out`: a call that a release or a cancel removes is recorded as ended at that time."""
 
     def __init__(self, switch: "TrialSwitch") -> None:
         self.switch = switch
@@ -54,7 +59,7 @@
         self.switch.release(call_id)
 
     def __contains__(self, call_id: str) -> bool:
-        return False  # a cancel may have been lost in a cut
+        return False  # a cancel may have been lost with its connection
 
     def __iter__(self):
         return iter(list(self.switch.ends))
@@ -64,9 +69,12 @@
 
 
 class TrialSwitch(Switch):
-    """Holds calls for a while. A release goes out on the set-up's connection, and once on the next that opens."""
+    """A stand-in switch that holds each call for a random time and then releases it.
 
-    def __init__(self, name: str, number: int, rng: random.Random, record: Record) -> None:
+    The release is sent on the set-up's connection, or another open one, and once more on the next that opens.
+    """
+
+    def __init__(self, name: str, number: int, rng: random.Random, record: TrialRecord) -> None:
         super().__init__(name, number, free=500)
         self.rng, self.record = rng, record
         self.ends: dict[str, asyncio.TimerHandle] = {}
@@ -75,14 +83,14 @@
 
     def notify(self, writer, free=None) -> None:
         super().notify(writer, free)
-        untold, self.untold = self.untold, {}
-        for call_id, cause in untold.items():
+        pending, self.untold = self.untold, {}
+        for call_id, cause in pending.items():
             self.bye(call_id, cause, writer)
 
-    def act(self, what, call_id, writer=None) -> None:
-        super().act(what, call_id, writer)
+    def act(self, action, call_id, writer=None) -> None:
+        super().act(action, call_id, writer)
         self.release(call_id)
-        self.record.over.pop((self.name, call_id), None)
+        self.record.ended_at.pop((self.name, call_id), None)
         hold_s = 0.2 + self.rng.expovariate(1 / HOLD_S)
         loop = asyncio.get_running_loop()
         self.ends[call_id] = loop.call_later(hold_s, self.end, call_id)
@@ -91,23 +99,23 @@
         timer = self.ends.pop(call_id, None)
         if timer:
             timer.cancel()
-            self.note_over(call_id)
+            self.record_end(call_id)
 
-    def note_over(self, call_id: str) -> None:
-        self.record.over.setdefault((self.name, call_id), asyncio.get_running_loop().time())
+    def record_end(self, call_id: str) -> None:
+        self.record.ended_at.setdefault((self.name, call_id), asyncio.get_running_loop().time())
 
     def end(self, call_id: str) -> None:
         del self.ends[call_id]
-        self.note_over(call_id)
+        self.record_end(call_id)
         self.untold[call_id] = 16
         origin = self.origin[call_id]
-        open_writers = [origin, *self.writers]
-        writer = next((one for one in open_writers if not one.is_closing()), None)
+        writers = [origin, *self.writers]
+        writer = next((candidate for candidate in writers if not candidate.is_closing()), None)
         if writer:
             self.bye(call_id, 16, writer)
 
     def die(self) -> None:
-        """The process is gone: its calls are cut, and the next one knows none of them."""
+        """End all calls and reset all connections, as the loss of the process does; its successor has no calls."""
         for call_id in list(self.ends):
             self.release(call_id)
         self.untold = {}
@@ -117,9 +125,14 @@
 
 
 class Trial:
+    """One trial with its own gatekeeper process; `violations` judges what it recorded.
+
+    seconds: duration of the load and of the faults. shutdown: end with SIGTERM while faults are still active.
+    """
+
     def __init__(self, seed: int, seconds: float, shutdown: bool = False) -> None:
         self.rng, self.seconds, self.shutdown = random.Random(seed), seconds, shutdown
-        self.record = Record()
+        self.record = TrialRecord()
         self.switches = [TrialSwitch(f"s-{number}", number, self.rng, self.record) for number in (1, 2, 3)]
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -130,7 +143,7 @@
             for caller in callers:
                 self.start(self.listen(caller))
             faults = [self.start(self.fail_switches()), self.start(self.fail_discovery())]
-            await self.place_calls(callers)
+            await self.offer_calls(callers)
             if self.shutdown:
                 await self.shut_down(world)
             else:
@@ -140,38 +153,39 @@
                 task.cancel()
 
     async def end_all(self) -> None:
-        await asyncio.sleep(LAST_SET_UP_S)
+        await asyncio.sleep(SET_UP_TAIL_S)
         for switch in self.switches:
             for call_id in list(switch.ends):
                 switch.end(call_id)
         await asyncio.sleep(SETTLE_S)
 
     async def shut_down(self, world) -> None:
-        """SIGTERM among the faults: what stands then is over, and told, by the time of the earliest kill."""
+        """Send SIGTERM during the faults: standing calls must be released before the process may be killed."""
         self.record.faults.append((self.loop.time(), "discovery", "SIGTERM"))
         killed_at = self.loop.time() + EARLIEST_KILL_S
         world.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout_at(killed_at):
             await world.process.wait()
-        await asyncio.sleep(0.1)  # what was written is read
+        await asyncio.sleep(0.1)  # the callers read what the process wrote last
         for call_id, call in self.record.calls.items():
-            self.record.over.setdefault((call.switch, call_id), killed_at - UNSENT_TOLD_S)
+            self.record.ended_at.setdefault((call.switch, call_id), killed_at - MAX_NOTIFY_DELAY_S)
 
-    def start(self, work) -> asyncio.Task[None]:
-        task = asyncio.create_task(work)
+    def start(self, coroutine) -> asyncio.Task[None]:
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     # Callers
 
-    async def place_calls(self, callers) -> None:
+    async def offer_calls(self, callers) -> None:
         until = self.loop.time() + self.seconds
         while self.loop.time() < until:
             self.rng.choice(callers).set_up(self.rng.choice((1, 2, 3)), left=2000)
             await asyncio.sleep(self.rng.expovariate(CALLS_PER_S))
 
     async def listen(self, caller) -> None:
+        """Record answers and releases, and hang up some of the calls."""
         while True:
             row = await caller.next_row()
             call_id, now = row["id"], self.loop.time()
@@ -184,12 +198,12 @@
                 call = self.record.calls.get(call_id)
                 if call is None:
                     self.record.outcomes["refused or failed"] += 1
-                elif call.told_at is None:
-                    call.told_at = now
+                elif call.released_at is None:
+                    call.released_at = now
 
     def hang_up(self, caller, call_id: str) -> None:
         call = self.record.calls[call_id]
-        if call.told_at is None:
+        if call.released_at is None:
             call.hung_up = True
             caller.say("release", call_id, cause=16)
 
@@ -200,50 +214,62 @@
         while self.loop.time() < until:
             await asyncio.sleep(self.rng.uniform(0.2, 2.5))
             switch = self.rng.choice(self.switches)
-            kind = self.rng.choice(
-                ["partition", "vanish", "hang", "crash", "crash at once", "reset", "silence", "gone"]
+            fault = self.rng.choice(
+                [
+                    "partition",
+                    "machine loss",
+                    "hang",
+                    "crash",
+                    "crash at once",
+                    "reset",
+                    "silence",
+                    "long machine loss",
+                ]
             )
             if switch.proxy.fault is not Fault.NONE:
                 continue
-            self.record.faults.append((self.loop.time(), switch.name, kind))
-            self.start(getattr(self, kind.replace(" ", "_"))(switch))
+            self.record.faults.append((self.loop.time(), switch.name, fault))
+            self.start(getattr(self, fault.replace(" ", "_"))(switch))
 
     async def partition(self, switch: TrialSwitch) -> None:
+        """Drop all traffic for a while; the switch keeps its calls."""
         await switch.proxy.set_fault(Fault.SILENT)
         await asyncio.sleep(self.rng.uniform(0.2, 9))
         await switch.proxy.set_fault(Fault.NONE)
 
-    async def vanish(self, switch: TrialSwitch) -> None:
-        """A machine that is lost without a sign, and another process at its address later."""
+    async def machine_loss(self, switch: TrialSwitch) -> None:
+        """Lose the machine without closing its connections; later another process starts at its address."""
         await self.lose_machine(switch, 2.2, 9)
 
-    async def gone(self, switch: TrialSwitch) -> None:
-        """The same, and it is back only when the trial is nearly over."""
+    async def long_machine_loss(self, switch: TrialSwitch) -> None:
+        """The same, but the address is in use again only near the end of the trial."""
         await self.lose_machine(switch, 10, 14)
 
-    async def lose_machine(self, switch: TrialSwitch, least_s: float, longest_s: float) -> None:
+    async def lose_machine(self, switch: TrialSwitch, min_s: float, max_s: float) -> None:
         await switch.proxy.set_fault(Fault.SILENT)
         switch.die()
-        await asyncio.sleep(self.rng.uniform(least_s, longest_s))
-        await self.come_back(switch)
+        await asyncio.sleep(self.rng.uniform(min_s, max_s))
+        await self.restart(switch)
 
     async def hang(self, switch: TrialSwitch) -> None:
+        """Connections stay open and new ones are accepted, but nothing is forwarded for a while."""
         await switch.proxy.set_fault(Fault.HANG)
         await asyncio.sleep(self.rng.uniform(0.2, 9))
         await switch.proxy.set_fault(Fault.NONE)
 
     async def crash(self, switch: TrialSwitch) -> None:
-        """A process that dies resets its connections, and nothing runs there until the next one starts."""
+        """Reset all connections and refuse new ones until the next process starts, as after a crash."""
         await switch.proxy.set_fault(Fault.REFUSE)
         switch.die()
         switch.proxy.reset_connections()
         await asyncio.sleep(self.rng.uniform(0.5, 5))
-        await self.come_back(switch)
+        await self.restart(switch)
 
     async def crash_at_once(self, switch: TrialSwitch) -> None:
+        """A crash after which the next process accepts connections immediately."""
         switch.die()
         switch.proxy.reset_connections()
-        await self.come_back(switch)
+        await self.restart(switch)
 
     async def reset(self, switch: TrialSwitch) -> None:
         switch.proxy.reset_connections()
@@ -251,7 +277,8 @@
     async def silence(self, switch: TrialSwitch) -> None:
         switch.proxy.silence_connections()
 
-    async def come_back(self, switch: TrialSwitch) -> None:
+    async def restart(self, switch: TrialSwitch) -> None:
+        """Forward again, and list the new start time on the command channel shortly afterwards."""
         started_ms = int(time.time() * 1000)
         await switch.proxy.set_fault(Fault.NONE)
         await asyncio.sleep(self.rng.uniform(0.3, 3))
@@ -270,40 +297,49 @@
             await asyncio.sleep(self.rng.uniform(1, 12))
             await proxy.set_fault(Fault.NONE)
 
-    # The verdict
+    # Judgement
 
-    def broken(self) -> list[str]:
-        """Each end that was not told in time, and each call that was told to be over for no reason."""
-        told_wrongly = []
+    def violations(self) -> list[str]:
+        """Describe each release that is missing or late, and each early one with no fault that explains it."""
+        violations = []
         for call_id, call in self.record.calls.items():
-            over_at = self.record.over.get((call.switch, call_id))
-            if over_at is None:
-                told_wrongly.append(f"{call_id} on {call.switch} has no end in the trial")
+            ended_at = self.record.ended_at.get((call.switch, call_id))
+            if ended_at is None:
+                violations.append(f"{call_id} on {call.switch}: no end of the call was recorded")
             elif call.hung_up:
                 continue
-            elif self.shutdown and call.told_at is not None:
-                continue  # the other trials judge when
-            elif call.told_at is None or call.told_at > over_at + UNSENT_TOLD_S:
-                late = "never told" if call.told_at is None else f"told {call.told_at - over_at:.2f} s late"
-                told_wrongly.append(
-                    f"{call_id} on {call.switch} was over at {over_at:.2f}, {late}: {self.near(call, over_at)}"
+            elif self.shutdown and call.released_at is not None:
+                continue  # only the trials without shutdown check the time of the release
+            elif call.released_at is None or call.released_at > ended_at + MAX_NOTIFY_DELAY_S:
+                delay = (
+                    "no release"
+                    if call.released_at is None
+                    else f"release {call.released_at - ended_at:.2f} s later"
+                )
+                violations.append(
+                    f"{call_id} on {call.switch} ended at {ended_at:.2f}, {delay}; "
+                    f"faults near: {self.faults_near(call, ended_at)}"
                 )
-            elif call.told_at < over_at - 0.5 and not self.near(call, call.told_at):
-                told_wrongly.append(
-                    f"{call_id} on {call.switch} was told over {over_at - call.told_at:.2f} s early"
+            elif call.released_at < ended_at - 0.5 and not self.faults_near(call, call.released_at):
+                violations.append(
+                    f"{call_id} on {call.switch}: release {ended_at - call.released_at:.2f} s before the call ended"
                 )
-        return told_wrongly
+        return violations
 
-    def near(self, call: StandingCall, at: float) -> list[str]:
+    def faults_near(self, call: StandingCall, at: float) -> list[str]:
+        """Describe the faults of the call's switch and of discovery within EARLY_WINDOW_S of a time."""
         return [
-            f"{name} {kind} {moment - at:+.2f}"
-            for moment, name, kind in self.record.faults
+            f"{name} {fault} {moment - at:+.2f}"
+            for moment, name, fault in self.record.faults
             if name in (call.switch, "discovery") and at - EARLY_WINDOW_S <= moment <= at + EARLY_WINDOW_S
         ]
 
-    def early(self) -> int:
+    def early_releases(self) -> int:
+        """Count the calls whose caller received a release more than 0.5 s before the call ended."""
         pairs = (
-            (call, self.record.over.get((call.switch, call_id)))
+            (call, self.record.ended_at.get((call.switch, call_id)))
             for call_id, call in self.record.calls.items()
         )
-        return sum(bool(over and call.told_at and call.told_at < over - 0.5) for call, over in pairs)
+        return sum(
+            bool(ended and call.released_at and call.released_at < ended - 0.5) for call, ended in pairs
+        )
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,7 @@
-"""The program as a process, and those it talks to: callers, carrier switches, the command channel, peers.
+"""Test environment: one gatekeeper process, with stand-ins for the callers, switches, command channel and peer.
 
-Nothing here measures speed: waits end on events, and LONG is only how long a failing test takes to fail.
+`World` starts the process and the stand-ins on loopback ports and stops them again. Tests wait for events, not
+for fixed times, so these helpers do not measure speed. Waits that do not end raise TimeoutError after LONG seconds.
 """
 
 import asyncio
@@ -18,31 +19,36 @@
 
 from tansyspur.faults.proxy import FaultProxy
 
-LONG = 20.0
+LONG = 20.0  # seconds; limit of each wait, reached only by a failing test
 ROOT = Path(__file__).parent.parent
-S = 1_000_000_000
+S = 1_000_000_000  # nanoseconds in a second
 
 
-HELD = collections.deque(maxlen=64)  # sockets that keep ports of late from being given out again
+RESERVED_SOCKETS = collections.deque(maxlen=64)  # bound, so that the system does not assign their ports again
 
 
-def free_port(kind=socket.SOCK_STREAM):
-    """A port of the system's choice. Of TCP it is held, bound and not listening, so that no other test's
-    connection gets it before the program listens there; a datagram socket would get what is sent to the port."""
-    probe = socket.socket(socket.AF_INET, kind)
-    if kind == socket.SOCK_STREAM:
+def free_port(socket_type=socket.SOCK_STREAM):
+    """Return a free loopback port chosen by the system.
+
+    A TCP port stays bound, without listening, so that a connection of another test cannot take it before the
+    gatekeeper listens there. A UDP port is closed again, because a bound datagram socket would receive the
+    datagrams that are sent to the port.
+    """
+    probe = socket.socket(socket.AF_INET, socket_type)
+    if socket_type == socket.SOCK_STREAM:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        HELD.append(probe)
+        RESERVED_SOCKETS.append(probe)
     probe.bind(("127.0.0.1", 0))
     port = probe.getsockname()[1]
-    if kind != socket.SOCK_STREAM:
+    if socket_type != socket.SOCK_STREAM:
         probe.close()
     return port
 
 
 def settings(**changed):
-    made = {
+    """Return a settings object for the configuration file; keyword arguments replace its top-level entries."""
+    defaults = {
         "balancers": 2,
         "ordinal": 0,
         "classes": [
@@ -56,33 +62,42 @@
         },
         "guarantees": {"cold-share": 0.31, "ramp-time-ns": 13 * S, "overload-factor": 3.0, "fall-ns": 3 * S},
     }  # fmt: skip
-    return {**made, **changed}
+    return {**defaults, **changed}
 
 
 class Switch:
-    """A stand-in carrier switch. `plan` says what becomes of each set-up in turn; the last entry stays."""
+    """A stand-in carrier switch that speaks SIP over TCP.
+
+    `plan` lists the action for each set-up in turn (see `act`); its last entry applies to all further set-ups.
+    With `circuits`, set-ups beyond that number are refused and each message changes the free circuits reported.
+    """
 
     def __init__(self, name, number, plan=("answer",), free=20, circuits=0):
         self.name, self.number, self.plan = name, number, list(plan)
         self.free, self.circuits = circuits or free, circuits
-        self.heard = asyncio.Queue()  # (method or status, Call-ID, headers, body)
-        self.log = []  # the same, for assertions, with the time
+        self.heard = asyncio.Queue()  # (method or status, Call-ID, headers, body) of each message received
+        self.log = []  # (loop time, method or status, Call-ID) of each message received, kept for assertions
+        # origin: the connection of each call's INVITE; chop: bytes per write, 0 to write each message at once
         self.writers, self.origin, self.chop = [], {}, 0
+        # out: Call-IDs of attempts and calls that are not over; with_refusal: extra header line of refusals
         self.out, self.with_refusal = set(), "X-Any: 1"
-        self.untold = {}  # releases that are sent again on the next connection that opens
-        self.proxy = None  # through which the program reaches it, if any
+        self.untold = {}  # Call-ID -> cause of releases that are sent on each connection that opens
+        self.proxy = None  # the FaultProxy through which the gatekeeper reaches this switch, if any
         self.mute = []  # connections on which nothing more is sent
 
     async def start(self, port=0):
+        """Listen on a loopback port (0: any free one) and return the switch itself."""
         listening = socket.socket()
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # what a stalled switch takes
+        # A small buffer limits what a switch that does not read accepts.
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listening.bind(("127.0.0.1", port))
         self.server = await asyncio.start_server(self.serve, sock=listening)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     def entry(self, status="up", **more):
+        """Return this switch's entry in the switch list of the command channel."""
         return {
             "name": self.name, "address": f"127.0.0.1:{self.proxy.port if self.proxy else self.port}",
             "zone": "z", "type": "std", "group": self.number, "status": status, "weight": 1, "since_ms": 0, **more,
@@ -97,17 +112,17 @@
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 start, *rows = head.strip().split("\r\n")
-                headers = {n.lower(): v for n, v in (row.split(": ", 1) for row in rows)}
+                headers = {name.lower(): value for name, value in (row.split(": ", 1) for row in rows)}
                 body = await reader.readexactly(int(headers["content-length"]))
                 method = start.split()[0]
                 self.log.append((asyncio.get_running_loop().time(), method, headers["call-id"]))
                 if method == "INVITE":
-                    assert headers["call-id"] not in self.out, "two attempts out at once"
+                    assert headers["call-id"] not in self.out, "two attempts of one call in progress at once"
                     self.out.add(headers["call-id"])
                     self.origin[headers["call-id"]] = writer
-                    what = self.plan[0] if len(self.plan) == 1 else self.plan.pop(0)
+                    action = self.plan[0] if len(self.plan) == 1 else self.plan.pop(0)
                     full = self.circuits and len(self.out) > self.circuits
-                    self.act("480 all_trunks_busy" if full else what, headers["call-id"], writer)
+                    self.act("480 all_trunks_busy" if full else action, headers["call-id"], writer)
                 elif method == "OPTIONS":
                     self.send(writer, "SIP/2.0 200 OK", headers["call-id"], "1 OPTIONS")
                 elif method in ("CANCEL", "BYE"):
@@ -118,27 +133,33 @@
         writer.close()
 
     def notify(self, writer, free=None):
+        """Send the group state; `free` first sets the number of free circuits."""
         self.free = self.free if free is None else free
         self.send(
             writer, "NOTIFY sip:group@net SIP/2.0", "state", "1 NOTIFY", f"X-Group: free:{self.free};size:20"
         )
 
-    def act(self, what, call_id, writer=None):
+    def act(self, action, call_id, writer=None):
+        """Handle a set-up: "answer", "reset" (abort the connection), "silent" (send nothing), or refuse it.
+
+        A refusal is given as its status code, optionally followed by a space and the value of X-Cause.
+        """
         writer = writer or self.origin[call_id]
-        if what == "answer":
+        if action == "answer":
             self.send(writer, "SIP/2.0 100 Trying", call_id, "1 INVITE")
             self.send(writer, "SIP/2.0 200 OK", call_id, "1 INVITE", body=f"from-{self.name} \r\nv=0 é\r\n")
-        elif what == "reset":
+        elif action == "reset":
             self.out.discard(call_id)
             writer.transport.abort()
-        elif what != "silent":
-            status, _, note = what.partition(" ")
+        elif action != "silent":
+            status, _, note = action.partition(" ")
             self.out.discard(call_id)
             self.send(
                 writer, f"SIP/2.0 {status} No", call_id, "1 INVITE", f"X-Cause: {note}", self.with_refusal
             )
 
     def bye(self, call_id, cause=16, writer=None):
+        """Release a call, on the connection of its set-up unless another one is given."""
         writer = writer or self.origin[call_id]
         self.send(writer, f"BYE sip:{call_id}@net SIP/2.0", call_id, "2 BYE", f"Reason: Q.850;cause={cause}")
 
@@ -147,26 +168,31 @@
             return
         data = body.encode()
         lines = [start, "Via: SIP/2.0/TCP peer", f"Call-ID: {call_id}", f"CSeq: {cseq}", *headers]
-        whole = "\r\n".join([*lines, f"Content-Length: {len(data)}", "", ""]).encode() + data
+        message = "\r\n".join([*lines, f"Content-Length: {len(data)}", "", ""]).encode() + data
         for piece in (
-            [whole[at : at + self.chop] for at in range(0, len(whole), self.chop)] if self.chop else [whole]
+            [message[at : at + self.chop] for at in range(0, len(message), self.chop)]
+            if self.chop
+            else [message]
         ):
             writer.write(piece)
 
     async def next(self, method, call_id=None):
-        """The next message of this method (for this call); others are passed over."""
+        """Wait for the next message with this method (and Call-ID) and return it; skip all others."""
         async with asyncio.timeout(LONG):
             while True:
-                heard = await self.heard.get()
-                if heard[0] == method and call_id in (None, heard[1]):
-                    return heard
+                message = await self.heard.get()
+                if message[0] == method and call_id in (None, message[1]):
+                    return message
 
     def count(self, method):
-        return sum(1 for _, heard, _ in self.log if heard == method)
+        return sum(1 for _, received, _ in self.log if received == method)
 
 
 class Channel:
-    """The command channel: what it has told, and each cursor it was resumed from."""
+    """A stand-in command channel: serves numbered switch-list events from the requested cursor on.
+
+    `events` holds all events sent so far, `resumed` the cursor of each connection.
+    """
 
     def __init__(self):
         self.events, self.resumed, self.writers = [], asyncio.Queue(), []
@@ -177,8 +203,8 @@
         return self
 
     async def serve(self, reader, writer):
-        word, cursor = (await reader.readline()).split()
-        assert word == b"resume"
+        request, cursor = (await reader.readline()).split()
+        assert request == b"resume"
         for event in self.events[int(cursor) :]:
             writer.write(json.dumps(event).encode() + b"\n")
         self.writers.append(writer)
@@ -188,6 +214,7 @@
             await asyncio.sleep(1)
 
     def event(self, *entries, snapshot=False):
+        """Append an event with these switch-list entries and send it on all connections."""
         self.events.append(
             {
                 "cursor": len(self.events) + 1,
@@ -199,7 +226,7 @@
 
 
 class Caller:
-    """One connection of JSON lines."""
+    """A caller-side connection that carries JSON lines, one message each."""
 
     ids = itertools.count(1)
 
@@ -207,10 +234,14 @@
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         return self
 
-    def say(self, kind, call_id, **more):
-        self.writer.write(json.dumps({"type": kind, "id": call_id, "fields": {}, **more}).encode() + b"\n")
+    def say(self, message_type, call_id, **more):
+        """Send one message; keyword arguments add or replace its keys."""
+        self.writer.write(
+            json.dumps({"type": message_type, "id": call_id, "fields": {}, **more}).encode() + b"\n"
+        )
 
     def set_up(self, dest, left=4000, extras="", sdp="o=caller\r\n", **fields):
+        """Send a set-up toward an exchange number, with `left` ms to its deadline, and return the call's id."""
         call_id = f"{next(self.ids):016x}"
         fields = {"class": "lookup", "left": str(left), "key": f"{int(call_id, 16):016x}", **fields}
         fields["extras"] = f"dest:{dest};width:1;via:-1{extras}"
@@ -218,6 +249,10 @@
         return call_id
 
     async def next(self, call_id=None, kind=None):
+        """Wait for the next message (of this call, of this type) and return it; skip all others.
+
+        Raises ConnectionError when the gatekeeper closes the connection.
+        """
         async with asyncio.timeout(LONG):
             while True:
                 line = await self.reader.readline()
@@ -228,14 +263,14 @@
                     return row
 
     async def next_row(self):
-        """The next message, however long it takes."""
+        """Wait for the next message without a time limit and return it."""
         line = await self.reader.readline()
         if not line:
             raise ConnectionError("the program closed the connection")
         return json.loads(line)
 
     async def silent(self, seconds=0.3):
-        """Nothing more comes; a second final answer would."""
+        """Return whether no message arrives within `seconds`; a second final answer would be one."""
         try:
             async with asyncio.timeout(seconds):
                 line = await self.reader.readline()
@@ -248,6 +283,13 @@
 
 
 class World:
+    """Context manager: a running gatekeeper process with the given stand-in switches, a command channel and a peer.
+
+    operator: text of the operator's TOML file. limits: resource limits of the configuration file. proxied: place a
+    FaultProxy in front of each switch and of the command channel. Further keywords replace entries of the settings.
+    On exit, the process must end with code 0, and no log line may contain "Traceback" or "failed:".
+    """
+
     def __init__(self, *switches, operator=None, limits=None, proxied=False, **changed):
         self.proxied, self.proxies, self.channel_proxy = proxied, [], None
         self.switches, self.operator, self.settings = [*switches], operator, settings(**changed)
@@ -293,7 +335,7 @@
             path = Path(self.folder.name, "operator.toml")
             path.write_text(self.operator)
             arguments += ["--operator", str(path)]
-        self.arguments, self.reading = arguments, []
+        self.arguments, self.log_readers = arguments, []
         self.console_port = free_port()
         self.process = await self.launch(self.console_port)
         try:
@@ -306,10 +348,12 @@
         return self
 
     async def proxy(self, target):
+        """Start a fault proxy in front of a port."""
         self.proxies.append(await FaultProxy(target).start())
         return self.proxies[-1]
 
     async def launch(self, console_port):
+        """Start a gatekeeper process with the configuration of this environment, and collect its log lines."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, *self.arguments, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
             env={
@@ -317,35 +361,37 @@
                 "TMPDIR": self.folder.name, "ROUTER_CONSOLE": f"127.0.0.1:{console_port}",
             },
         )  # fmt: skip
-        self.reading.append(asyncio.create_task(self.read_log(process)))
+        self.log_readers.append(asyncio.create_task(self.read_log(process)))
         return process
 
     async def replace(self):
-        """The next process, once it says that it is ready; the old one still runs, and is returned."""
+        """Start the successor process and wait until its console reports ready; return the old, running one."""
         old, self.console_port = self.process, free_port()
         self.process = await self.launch(self.console_port)
         await self.says("STATUS", "+OK")
         return old
 
-    async def console(self, call, port=None):
-        """The answer to one call; empty if nobody listens."""
+    async def console(self, command, port=None):
+        """Send one console command and return the answer; empty if nothing listens on the port."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port or self.console_port)
         except OSError:
             return ""
         async with asyncio.timeout(LONG):
-            writer.write(call.encode() + b"\n")
+            writer.write(command.encode() + b"\n")
             answer = (await reader.read()).decode()
         writer.close()
         return answer
 
-    async def says(self, call, start):
+    async def says(self, command, start):
+        """Repeat a console command until its answer starts with this text, and return the answer."""
         async with asyncio.timeout(LONG):
-            while not (answer := await self.console(call)).startswith(start):
+            while not (answer := await self.console(command)).startswith(start):
                 await asyncio.sleep(0.05)
         return answer
 
     def reload(self, text=None, **changed):
+        """Rewrite the configuration file, with changed entries or as this text, and send SIGHUP."""
         self.config.write_text(json.dumps(self.document | changed) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
@@ -358,11 +404,16 @@
             self.lines.append(line.decode().rstrip("\n"))
 
     async def ready(self):
-        """The test passes, and every switch has its connection."""
+        """Wait until the gatekeeper answers a caller's ping with cause 1: serving, each switch connected.
+
+        Raises AssertionError, with the log, when the process ends first.
+        """
         async with asyncio.timeout(LONG):
             while True:
                 if self.process.returncode is not None:
-                    raise AssertionError("the program ended at its start: " + "\n".join(self.lines))
+                    raise AssertionError(
+                        "the gatekeeper process ended during its start: " + "\n".join(self.lines)
+                    )
                 with contextlib.suppress(OSError, ConnectionError):
                     caller = await self.caller()
                     caller.say("ping", "00000000000000ff", cause=0)
@@ -375,20 +426,21 @@
         return await Caller().connect(self.port)
 
     async def logged(self, pattern, times=1):
+        """Wait until at least `times` log lines match the regular expression."""
         async with asyncio.timeout(LONG):
             while sum(1 for line in self.lines if re.search(pattern, line)) < times:
                 await asyncio.sleep(0.02)
 
     async def stop(self):
-        """SIGTERM; the exit code."""
+        """Send SIGTERM and return the exit code of the process."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(LONG):
             return await self.process.wait()
 
-    async def __aexit__(self, kind, error, trace):
+    async def __aexit__(self, error_type, error, trace):
         try:
-            for switch in self.switches:  # what stands would be waited for
+            for switch in self.switches:  # the gatekeeper would wait for calls that are still standing
                 for call_id in switch.out:
                     for writer in switch.writers:
                         switch.bye(call_id, writer=writer)
@@ -396,7 +448,7 @@
         finally:
             if self.process.returncode is None:
                 self.process.kill()
-            await asyncio.gather(*self.reading)
+            await asyncio.gather(*self.log_readers)
             if error:
                 print("\n".join(self.lines))
             for proxy in self.proxies:
