--- a/tansyspur/faults/__init__.py
+++ b/tansyspur/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Fault injection between real processes on loopback: a proxy that cuts, silences or delays connections."""
+"""Fault injection between processes on loopback: a proxy that resets, silences or refuses connections."""
--- a/tansyspur/faults/proxy.py
+++ b/tansyspur/faults/proxy.py
@@ -1,8 +1,8 @@
-"""A TCP proxy on loopback that plays network and machine faults on the links that cross it.
+"""TCP proxy on loopback that injects network and machine faults into the connections through it.
 
-A machine that vanished gives no sign: its open connections stay open and silent, and new ones never come up. The
-first is played by reading from neither side; the second by a listening socket whose queue is full, as the kernel
-then drops what asks for a connection.
+When a machine is lost, its open connections stay open but silent, and new ones are never established. The proxy
+simulates the first by dropping all data that it reads, and the second by a listening socket whose queue is full,
+because the kernel then drops connection requests.
 """
 
 import asyncio
@@ -11,26 +11,26 @@
 from enum import Enum
 
 HOST = "127.0.0.1"
-PIECE = 64 * 1024
-QUEUE_FILLERS = 4  # connections that fill a listening socket's queue of none
-FILL_S = 0.02  # until the kernel has put them there
+READ_SIZE_BYTES = 64 * 1024
+QUEUE_FILLERS = 4  # connections that fill the queue of a socket that listens with backlog 0
+QUEUE_FILL_S = 0.02  # time for the kernel to put them into the queue
 
 
 class Fault(Enum):
     """What the proxy does with new connections, and with those that are open."""
 
     NONE = "none"
-    SILENT = "silent"  # new connections never come up, open ones bring nothing more
-    HANG = "hang"  # new connections come up, but neither they nor open ones bring anything more
-    REFUSE = "refuse"  # new connections are refused, open ones go on
+    SILENT = "silent"  # new connections are never established, open ones deliver no more data
+    HANG = "hang"  # new connections are established, but neither they nor open ones deliver data
+    REFUSE = "refuse"  # new connections are refused, open ones continue
 
 
 class ProxiedConnection:
-    """Two joined sockets, each direction copied by a task."""
+    """A client connection and its connection to the target; a task copies each direction."""
 
     def __init__(self, client: asyncio.StreamWriter, server: asyncio.StreamWriter, silent: bool) -> None:
         self.client, self.server = client, server
-        self.silent = silent  # for good: what was sent into it is gone
+        self.silent = silent  # permanent, because the data sent meanwhile has been dropped
 
     def reset(self) -> None:
         self.client.transport.abort()
@@ -38,7 +38,11 @@
 
 
 class FaultProxy:
-    """Forwards to target until a fault is set; the target may change, as when a machine takes an address."""
+    """Forwards connections to a loopback port until a fault is set.
+
+    `target` may be changed at any time, as when another machine takes over an address. `accepted` counts the accepted
+    connections.
+    """
 
     def __init__(self, target: int) -> None:
         self.target = target
@@ -52,11 +56,15 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> "FaultProxy":
+        """Listen on a free port, which is then `port`, and return the proxy itself."""
         await self._listen()
         return self
 
     async def set_fault(self, fault: Fault) -> None:
-        """Open connections that are silenced stay so: a packet's retransmission is not played."""
+        """Apply a fault, or Fault.NONE to end it.
+
+        Silenced connections stay silent afterwards, because retransmission of lost data is not simulated.
+        """
         if fault is self.fault:
             return
         self._stop_listening()
@@ -65,7 +73,7 @@
             self.silence_connections()
         if fault is Fault.SILENT:
             self._open_blackhole()
-            await asyncio.sleep(FILL_S)
+            await asyncio.sleep(QUEUE_FILL_S)
         elif fault in (Fault.NONE, Fault.HANG):
             await self._listen()
 
@@ -84,21 +92,21 @@
             task.cancel()
 
     async def _listen(self) -> None:
-        listening = _bound(self.port)
-        self.port = listening.getsockname()[1]
-        self._server = await asyncio.start_server(self._accepted, sock=listening)
+        listening_socket = _bind_socket(self.port)
+        self.port = listening_socket.getsockname()[1]
+        self._server = await asyncio.start_server(self._on_connection, sock=listening_socket)
 
     def _stop_listening(self) -> None:
         if self._server:
             self._server.close()
             self._server = None
-        for one in (*self._fillers, self._blackhole):
-            if one:
-                one.close()
+        for listening_socket in (*self._fillers, self._blackhole):
+            if listening_socket:
+                listening_socket.close()
         self._fillers, self._blackhole = [], None
 
     def _open_blackhole(self) -> None:
-        self._blackhole = _bound(self.port)
+        self._blackhole = _bind_socket(self.port)
         self._blackhole.listen(0)
         for _ in range(QUEUE_FILLERS):
             filler = socket.socket()
@@ -107,7 +115,7 @@
                 filler.connect((HOST, self.port))
             self._fillers.append(filler)
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.accepted += 1
         try:
             far_reader, far_writer = await asyncio.open_connection(HOST, self.target)
@@ -124,11 +132,11 @@
     async def _copy(
         self, connection: ProxiedConnection, source: asyncio.StreamReader, sink: asyncio.StreamWriter
     ) -> None:
-        """What comes while the connection is silent is read and dropped, its end too."""
+        """Copy one direction; while the connection is silent, data and the end of the stream are dropped."""
         try:
-            while piece := await source.read(PIECE):
+            while data := await source.read(READ_SIZE_BYTES):
                 if not connection.silent:
-                    sink.write(piece)
+                    sink.write(data)
             if not connection.silent:
                 sink.write_eof()
         except OSError:
@@ -140,8 +148,8 @@
                 self.connections.remove(connection)
 
 
-def _bound(port: int) -> socket.socket:
-    made = socket.socket()
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.bind((HOST, port))
-    return made
+def _bind_socket(port: int) -> socket.socket:
+    bound_socket = socket.socket()
+    bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound_socket.bind((HOST, port))
+    return bound_socket
--- a/tansyspur/rig/fleetrun.py
+++ b/tansyspur/rig/fleetrun.py
@@ -1,4 +1,9 @@
-"""One run: real gatekeepers among stand-ins, callers with redials, and the rules checked from outside."""
+"""One run of the test rig: real gatekeeper processes among simulated store switches, under a generated load.
+
+FleetRun starts a gatekeeper process for each store switch of a fleet, plays the calls of a load with their redials, and
+simulates the store switches behind their SIP ports. While it does, it checks from the outside that the gatekeepers keep
+the rules of their interface. The outcome is a RunResult.
+"""
 
 import asyncio
 import contextlib
@@ -20,7 +25,7 @@
 from hdrh.histogram import HdrHistogram
 
 from tansyspur.planner.fleet import Fleet, Load
-from tansyspur.rig.plant import Plant, holding_time, poisson_times
+from tansyspur.rig.plant import FleetModel, holding_time, poisson_times
 from tansyspur.rig.results import (
     FORMAT,
     CallResult,
@@ -31,54 +36,55 @@
 )
 from tansyspur.rig.standins import (
     HOST,
-    CallerLine,
+    CallerConnection,
     CommandChannel,
-    PeerNet,
-    SipLink,
+    PeerNetwork,
+    SipConnection,
     SipMessage,
     SwitchPort,
-    sip,
+    format_sip,
 )
 
-S = 1_000_000_000
-READY_S = 30.0
-SLACK_S = 0.05  # by which the rules' limits on sockets are longer
-END_S = 20.0  # one that waits for standing calls ends by its longest deadline; later it is killed
-LINES = 2  # connections of callers to each gatekeeper
+S = 1_000_000_000  # nanoseconds in a second
+READY_TIMEOUT_S = 30.0
+RULE_TOLERANCE_S = 0.05  # added to the time limits of the rules, for transport on sockets
+EXIT_TIMEOUT_S = 20.0  # after SIGTERM standing calls are awaited up to the longest deadline; later: SIGKILL
+CONNECTIONS_PER_GATEKEEPER = 2  # caller connections
 
-Tell = Callable[[str], None]
+OnProgress = Callable[[str], None]
 
 
-def own_host() -> str:
-    """An address of loopback that runs beside this one do not use: a port that is free there stays free."""
+def run_host() -> str:
+    """Return a loopback address that concurrent runs do not use, so that a free port there stays free."""
     number = os.getpid()
     return f"127.{64 + (number >> 16) % 64}.{number >> 8 & 255}.{max(1, number & 255)}"
 
 
-def free_port(host: str, kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    with socket.socket(socket.AF_INET, kind) as probe:
+def free_port(host: str, socket_type: socket.SocketKind = socket.SOCK_STREAM) -> int:
+    """Return a port that is free on this host at the moment."""
+    with socket.socket(socket.AF_INET, socket_type) as probe:
         probe.bind((host, 0))
         return int(probe.getsockname()[1])
 
 
-def settings_of(fleet: Fleet, load: Load, number: int) -> dict[str, Any]:
-    """The platform's settings object for the gatekeeper of one store switch."""
+def gatekeeper_settings(fleet: Fleet, load: Load, number: int) -> dict[str, Any]:
+    """Return the settings object of the configuration file for the gatekeeper of one store switch."""
     rules = fleet.rules
     return {
         "balancers": len(fleet.switches),
         "ordinal": number,
         "classes": [
             {
-                "name": kind.name, "value": kind.worth, "objective-ns": int(kind.objective_s * S),
-                "deadline-ns": int(kind.deadline_s * S), "late-worth": kind.late_worth,
+                "name": call_class.name, "value": call_class.worth, "objective-ns": int(call_class.objective_s * S),
+                "deadline-ns": int(call_class.deadline_s * S), "late-worth": call_class.late_worth,
                 "effect": "idempotent", "dedup-scope": "all", "window-ns": 5 * S, "stream": True,
             }
-            for kind in load.classes
+            for call_class in load.classes
         ],
         "family-info": {
             "shape": "mesh", "here": number, "release-ns": int(rules.release_delay_s * S), "resend-ns": 0,
-            "class-hold-ns": [int(kind.holding_time_s * S) for kind in load.classes],
-            "channels-needed": [kind.width for kind in load.classes], "advice": False, "says-wait": False,
+            "class-hold-ns": [int(call_class.holding_time_s * S) for call_class in load.classes],
+            "channels-needed": [call_class.width for call_class in load.classes], "advice": False, "says-wait": False,
         },
         "limits": {
             "max-attempts": rules.max_attempts, "peers": rules.fill_reports, "cancel": True, "probes": False,
@@ -93,59 +99,63 @@
 
 
 @dataclass(slots=True)
-class CallerCall:
-    """A caller's call, with all its tries."""
+class OfferedCall:
+    """A call of the load with all its tries; times in seconds after the start of the run."""
 
-    first_s: float
+    first_try_s: float
     origin: str
     destination: str
     class_name: str
-    number: str
-    holding_s: float
-    draw: random.Random
+    dedup_key: str
+    holding_time_s: float
+    redial_rng: random.Random
     tries: int = 0
     attempts: int = 0
-    stood_s: float = -1.0
+    answered_s: float = -1.0
     tandem: bool = False
     cut: bool = False
-    over: bool = False
+    decided: bool = False  # answered, or no further try will follow
 
 
 @dataclass(slots=True)
-class Try:
-    """One try at one gatekeeper, or a call in transit there."""
+class Offer:
+    """A set-up sent to one gatekeeper: a try of a call, or the leg of a call in transit through its switch."""
 
     wire_id: str
-    at: str  # whose gatekeeper has it
-    call: CallerCall
-    line: CallerLine
+    gatekeeper: str  # name of the gatekeeper that received it
+    call: OfferedCall
+    connection: CallerConnection
     transit_of: "Attempt | None" = None
     offered_s: float = 0.0
-    again: bool = False  # sent once more, as it crossed a close
+    resent: bool = False  # repeats a set-up that crossed the close of its connection
     answered: bool = False
     ended: bool = False
-    given_up: bool = False
-    out: "Attempt | None" = None
-    freed_s: float = -1e9  # when an attempt ended as timed out, reset or cancelled
+    abandoned: bool = False
+    attempt: "Attempt | None" = None
+    attempt_lost_s: float = -1e9  # when an attempt last ended by time-out, reset or cancel
     timer: asyncio.TimerHandle | None = None
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One INVITE, from its gatekeeper's switch to another one."""
+    """An INVITE from the switch of its gatekeeper (sender) to another switch (receiver)."""
 
-    one: Try
+    offer: Offer
     sender: str
     receiver: str
-    link: SipLink
-    transit: Try | None = None
-    stood: bool = False
-    over: bool = False
+    connection: SipConnection
+    transit: Offer | None = None
+    answered: bool = False
+    ended: bool = False
     key: str = ""
 
 
 class FleetRun:
-    """Starts everything, plays the load, and ends all it started, also when it is interrupted."""
+    """Starts the processes and sockets of a run, plays the load, and stops them again, also when interrupted.
+
+    scale multiplies the load. seconds shortens the load's span. folder receives the logs and call records (None: a
+    temporary folder). on_progress is called with a line of text each second. Setting `stop` interrupts the run.
+    """
 
     def __init__(
         self,
@@ -155,54 +165,55 @@
         seed: int = 1,
         seconds: float | None = None,
         folder: Path | None = None,
-        tell: Tell = lambda text: None,
+        on_progress: OnProgress = lambda text: None,
     ) -> None:
         self.fleet, self.load, self.scale, self.seed = fleet, load.scaled(scale), scale, seed
         self.seconds = min(load.span_s, seconds or load.span_s)
-        self.folder, self.tell = folder, tell
-        self.plant = Plant(fleet, seed)
+        self.folder, self.on_progress = folder, on_progress
+        self.model = FleetModel(fleet, seed)
         self.loop = asyncio.get_running_loop()
         self.start_s = 0.0
-        self.calls: list[CallerCall] = []
-        self.tries: dict[str, Try] = {}
-        self.ids = itertools.count(1)
+        self.calls: list[OfferedCall] = []
+        self.offers: dict[str, Offer] = {}
+        self.wire_ids = itertools.count(1)
         self.attempt_keys = itertools.count(1)
         self.ports: dict[tuple[str, str], SwitchPort] = {}
         self.channels: list[CommandChannel] = []
-        self.lines: dict[str, list[CallerLine]] = {}
+        self.connections: dict[str, list[CallerConnection]] = {}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.usage: dict[str, tuple[float, float]] = {}
         self.crashed: set[str] = set()
         self.violations: list[str] = []
         self.messages: Counter[str] = Counter()
-        self.delays = HdrHistogram(1, 60_000_000, 3)
+        self.setup_delays_us = HdrHistogram(1, 60_000_000, 3)
         self.late_s = 0.0
-        self.peer_net: PeerNet | None = None
+        self.peer_network: PeerNetwork | None = None
         self.failure: BaseException | None = None
         self.interrupted = False
         self.ended_s = 0.0
         self.stop = asyncio.Event()
-        for group in self.plant.groups.values():
+        for group in self.model.groups.values():
             group.on_change = self._group_changed
 
     def now(self) -> float:
+        """Return the seconds since the start of the load."""
         return self.loop.time() - self.start_s
 
-    def at(self, when_s: float, do: Callable[..., None], *given: Any) -> asyncio.TimerHandle:
-        """At a time of the run. How late the loop comes to it says whether the run is a measurement."""
+    def schedule(self, at_s: float, callback: Callable[..., None], *arguments: Any) -> asyncio.TimerHandle:
+        """Call back at a time of the run, and record the greatest delay: a late rig gives no valid measurement."""
 
-        def due() -> None:
-            self.late_s = max(self.late_s, self.now() - max(when_s, asked_s))
-            do(*given)
+        def run_callback() -> None:
+            self.late_s = max(self.late_s, self.now() - max(at_s, scheduled_s))
+            callback(*arguments)
 
-        asked_s = self.now()
-        return self.loop.call_at(self.start_s + when_s, due)
+        scheduled_s = self.now()
+        return self.loop.call_at(self.start_s + at_s, run_callback)
 
-    def violated(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         self.violations.append(f"{self.now():.3f}s: {text}")
 
-    def _failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """A fault of the rig's own must not pass for a measurement."""
+    def _on_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Stop the run on an internal error of the rig, so that `run` raises it and returns no result."""
         error = context.get("exception")
         if isinstance(error, asyncio.CancelledError | ConnectionError):
             return
@@ -210,47 +221,50 @@
             self.failure = error or RuntimeError(context["message"])
         self.stop.set()
 
-    # Starting and ending
+    # Start and stop
 
     async def run(self) -> RunResult:
-        self.loop.set_exception_handler(self._failed)
+        """Execute the run; raises RuntimeError if a gatekeeper does not start, and any internal error of the rig."""
+        self.loop.set_exception_handler(self._on_loop_error)
         with tempfile.TemporaryDirectory(prefix="tansyspur-rig-") as scratch:
             folder = self.folder or Path(scratch)
             folder.mkdir(parents=True, exist_ok=True)
             try:
-                await self._open(folder, Path(scratch))
-                await self._play()
+                await self._start_all(folder, Path(scratch))
+                await self._run_load()
             finally:
-                await self._close()
+                await self._stop_all()
             if self.failure:
                 raise self.failure
             return self._result()
 
-    async def _open(self, folder: Path, scratch: Path) -> None:
+    async def _start_all(self, folder: Path, scratch: Path) -> None:
         names = self.fleet.names
-        host = own_host()
+        host = run_host()
         callers = {name: free_port(host) for name in names}
         peers = {name: free_port(host, socket.SOCK_DGRAM) for name in names}
-        self.peer_net = PeerNet(host, peers, self.plant.delay_s, self.messages)
+        self.peer_network = PeerNetwork(host, peers, self.model.delay_s, self.messages)
         if self.fleet.rules.fill_reports:
-            await self.peer_net.open()
+            await self.peer_network.open()
         for number, name in enumerate(names):
             endpoints = []
             for other in names:
                 port = 9
                 if other != name:
-                    group = self.plant.group(name, other)
+                    group = self.model.group(name, other)
 
                     def state(group=group) -> str:
                         return f"free:{group.free};size:{group.size}" if group else "free:0;size:0"
 
-                    made = SwitchPort(name, other, self._sip, self._sip_lost, state)
-                    port = await made.open()
-                    self.ports[name, other] = made
+                    switch_port = SwitchPort(
+                        name, other, self._on_sip_message, self._on_sip_connection_lost, state
+                    )
+                    port = await switch_port.open()
+                    self.ports[name, other] = switch_port
                 endpoints.append(
                     {
-                        "name": f"s-{other}", "address": f"{HOST}:{port}", "zone": self.plant.switches[other].depot,
-                        "type": "std", "group": self.plant.numbers[other], "status": "up", "weight": 1,
+                        "name": f"s-{other}", "address": f"{HOST}:{port}", "zone": self.model.switches[other].depot,
+                        "type": "std", "group": self.model.numbers[other], "status": "up", "weight": 1,
                         "since_ms": 0,
                     }
                 )  # fmt: skip
@@ -260,10 +274,11 @@
                 "name": name, "listen": f"{host}:{callers[name]}", "seed": f"{self.seed:08x}{number:08x}",
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                 "peer_listen": f"{host}:{peers[name]}",
-                "peers": [f"{host}:{self.peer_net.port(name, one)}" for one in names],
-                "peers_all": f"{host}:{self.peer_net.port(name, None)}", "channel": f"{HOST}:{await channel.open()}",
+                "peers": [f"{host}:{self.peer_network.port(name, other)}" for other in names],
+                "peers_all": f"{host}:{self.peer_network.port(name, None)}",
+                "channel": f"{HOST}:{await channel.open()}",
                 "known": {"cursor": 1, "cmds": channel.events[:1]},
-                "settings": settings_of(self.fleet, self.load, number),
+                "settings": gatekeeper_settings(self.fleet, self.load, number),
             }  # fmt: skip
             config = scratch / f"{name}.json"
             config.write_text(json.dumps(document))
@@ -276,54 +291,65 @@
                 self.processes[name] = await asyncio.create_subprocess_exec(
                     sys.executable, "-m", "tansyspur", "--operator", str(operator),
                     stdout=asyncio.subprocess.DEVNULL, stderr=log,
-                    start_new_session=True,  # Ctrl-C is ours to pass on
+                    start_new_session=True,  # keeps Ctrl-C from the process: the rig stops it with SIGTERM
                     env={
                         **os.environ, "ROUTER_NAME": name, "ROUTER_CONFIG": str(config),
                         "TMPDIR": str(scratch / name),
                     },
                 )  # fmt: skip
-            self.lines[name] = [
-                CallerLine((host, callers[name]), self._row, self._line_lost) for _ in range(LINES)
+            self.connections[name] = [
+                CallerConnection(
+                    (host, callers[name]), self._on_caller_message, self._on_caller_connection_lost
+                )
+                for _ in range(CONNECTIONS_PER_GATEKEEPER)
             ]
-        until = time.monotonic() + READY_S
-        for name, lines in self.lines.items():
-            while not await lines[0].ready():
+        until = time.monotonic() + READY_TIMEOUT_S
+        for name, connections in self.connections.items():
+            while not await connections[0].ready():
                 if self.processes[name].returncode is not None:
-                    raise RuntimeError(f"the gatekeeper {name} ended with {self.processes[name].returncode}")
+                    raise RuntimeError(
+                        f"gatekeeper {name} ended during its start with exit code {self.processes[name].returncode}"
+                    )
                 if time.monotonic() > until:
-                    raise RuntimeError(f"the gatekeeper {name} was not ready within {READY_S:g} s")
+                    raise RuntimeError(f"gatekeeper {name} was not ready within {READY_TIMEOUT_S:g} s")
                 await asyncio.sleep(0.05)
-            for line in lines:
-                await line.connect()
+            for connection in connections:
+                await connection.connect()
 
-    async def _play(self) -> None:
+    async def _run_load(self) -> None:
         self.start_s = self.loop.time()
         for i, stream in enumerate(self.load.streams):
-            draw = random.Random(f"{self.seed}/stream/{i}")
-            for at_s in poisson_times(stream.calls_per_s, self.load.windows_s, draw):
+            rng = random.Random(f"{self.seed}/stream/{i}")
+            for at_s in poisson_times(stream.calls_per_s, self.load.windows_s, rng):
                 if at_s < self.seconds:
-                    hold = holding_time(
+                    holding_time_s = holding_time(
                         self.load.holding_distribution,
                         self.load.class_named(stream.class_name).holding_time_s,
-                        draw,
+                        rng,
                     )
-                    number = f"{draw.getrandbits(64):016x}"
-                    # Redials draw from a stream of their own, so that they do not shift the arrivals.
-                    again = random.Random(f"{self.seed}/caller/{number}")
-                    call = CallerCall(
-                        at_s, stream.origin, stream.destination, stream.class_name, number, hold, again
+                    number = f"{rng.getrandbits(64):016x}"
+                    # Redials draw from a generator of their own, so that they do not shift the arrivals.
+                    redial_rng = random.Random(f"{self.seed}/caller/{number}")
+                    call = OfferedCall(
+                        at_s,
+                        stream.origin,
+                        stream.destination,
+                        stream.class_name,
+                        number,
+                        holding_time_s,
+                        redial_rng,
                     )
                     self.calls.append(call)
-        self.calls.sort(key=lambda call: call.first_s)
-        self.before = {name: _usage(process.pid) for name, process in self.processes.items()}
+        self.calls.sort(key=lambda call: call.first_try_s)
+        self.usage_before = {name: _process_usage(process.pid) for name, process in self.processes.items()}
         for call in self.calls:
-            self.at(call.first_s, self._dial, call)
+            self.schedule(call.first_try_s, self._dial, call)
         progress = asyncio.create_task(self._progress())
-        # What began in time is decided within the longest deadline after the last first try.
-        tail_s = max(kind.deadline_s for kind in self.load.classes)
+        # Every call is decided within the longest deadline after the last first try.
+        tail_s = max(call_class.deadline_s for call_class in self.load.classes)
         try:
             while self.now() < self.seconds + tail_s and not self.stop.is_set():
-                if self.now() >= self.seconds and all(call.over for call in self.calls):
+                if self.now() >= self.seconds and all(call.decided for call in self.calls):
                     break
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(0.2):
@@ -334,31 +360,31 @@
             progress.cancel()
             for name, process in self.processes.items():
                 if process.returncode is None:
-                    cpu_s, memory = _usage(process.pid)
-                    self.usage[name] = (cpu_s - self.before[name][0], memory)
+                    cpu_s, memory_mb = _process_usage(process.pid)
+                    self.usage[name] = (cpu_s - self.usage_before[name][0], memory_mb)
 
     async def _progress(self) -> None:
         while True:
             await asyncio.sleep(1)
-            stood = sum(call.stood_s >= 0 for call in self.calls)
-            busy = sum(group.busy for group in self.plant.groups.values())
-            self.tell(
-                f"{min(self.now(), self.seconds):3.0f} of {self.seconds:.0f} s: {stood} calls stood, "
-                f"{busy} circuits busy, {len(self.violations)} rules broken"
+            answered = sum(call.answered_s >= 0 for call in self.calls)
+            busy = sum(group.busy for group in self.model.groups.values())
+            self.on_progress(
+                f"{min(self.now(), self.seconds):3.0f} of {self.seconds:.0f} s: {answered} calls answered, "
+                f"{busy} circuits busy, {len(self.violations)} rule violations"
             )
 
-    async def _close(self) -> None:
-        self.crashed = {name for name, one in self.processes.items() if one.returncode is not None}
-        for lines in self.lines.values():
-            for line in lines:
-                line.close()
+    async def _stop_all(self) -> None:
+        self.crashed = {name for name, process in self.processes.items() if process.returncode is not None}
+        for connections in self.connections.values():
+            for connection in connections:
+                connection.close()
         for process in self.processes.values():
             if process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
                     process.send_signal(signal.SIGTERM)
         for process in self.processes.values():
             try:
-                async with asyncio.timeout(END_S):
+                async with asyncio.timeout(EXIT_TIMEOUT_S):
                     await process.wait()
             except TimeoutError:
                 process.kill()
@@ -367,14 +393,14 @@
             port.close()
         for channel in self.channels:
             channel.close()
-        await asyncio.sleep(0.05)  # their tasks end
-        if self.peer_net:
-            self.peer_net.close()
+        await asyncio.sleep(0.05)  # lets the tasks of the connections end
+        if self.peer_network:
+            self.peer_network.close()
 
     def _result(self) -> RunResult:
         end_s = self.ended_s
         for port in self.ports.values():
-            self.messages["sip from gatekeepers"] += port.heard
+            self.messages["sip from gatekeepers"] += port.received
             self.messages["sip to gatekeepers"] += port.sent
         percentiles = {"p50": 50, "p90": 90, "p99": 99, "p999": 99.9, "max": 100}
         return RunResult(
@@ -387,21 +413,22 @@
             violations=self.violations,
             calls=[
                 CallResult(
-                    c.first_s, c.origin, c.destination, c.class_name, c.tries, c.stood_s, c.cut, c.tandem,
-                    c.attempts, c.over,
+                    call.first_try_s, call.origin, call.destination, call.class_name, call.tries, call.answered_s,
+                    call.cut, call.tandem, call.attempts, call.decided,
                 )
-                for c in self.calls
-                if c.first_s <= end_s
+                for call in self.calls
+                if call.first_try_s <= end_s
             ],
             groups=[
-                GroupResult(g.ends, g.size, g.carried_erl(end_s), g.seizures, g.full)
-                for g in self.plant.groups.values()
+                GroupResult(group.ends, group.size, group.carried_erl(end_s), group.seizures, group.blocked)
+                for group in self.model.groups.values()
             ],
             switches=[
                 SwitchResult(
-                    name, self.plant.switches[name].depot, p.worked / p.rate / max(end_s, 1e-9), int(p.turned_away)
+                    name, self.model.switches[name].depot,
+                    processor.setups_done / processor.setups_per_s / max(end_s, 1e-9), int(processor.rejected),
                 )
-                for name, p in self.plant.processors.items()
+                for name, processor in self.model.processors.items()
             ],
             gatekeepers=[
                 GatekeeperResult(
@@ -410,310 +437,341 @@
                 )
                 for name in self.processes
             ],
-            setup_delay_us={k: int(self.delays.get_value_at_percentile(p)) for k, p in percentiles.items()},
+            setup_delay_us={
+                name: int(self.setup_delays_us.get_value_at_percentile(percentile))
+                for name, percentile in percentiles.items()
+            },
             messages=dict(self.messages),
         )  # fmt: skip
 
     # Callers
 
-    def _dial(self, call: CallerCall) -> None:
-        kind = self.load.class_named(call.class_name)
-        # What a redial may still wait for is what is left of the class's deadline.
-        left_s = min(
-            kind.deadline_s * self.load.redial.patience_share, call.first_s + kind.deadline_s - self.now()
+    def _dial(self, call: OfferedCall) -> None:
+        call_class = self.load.class_named(call.class_name)
+        # A redial waits no longer than the rest of its class's deadline.
+        remaining_s = min(
+            call_class.deadline_s * self.load.redial.patience_share,
+            call.first_try_s + call_class.deadline_s - self.now(),
         )
-        if left_s <= 0.05:
-            call.over = True
+        if remaining_s <= 0.05:
+            call.decided = True
             return
         call.tries += 1
-        self.plant.processors[call.origin].work(self.now(), self.fleet.work.look)
-        self._offer(call, call.origin, left_s, None)
-
-    def _offer(self, call: CallerCall, at: str, left_s: float, transit_of: Attempt | None) -> Try | None:
-        wire_id = f"{next(self.ids):016x}"
-        lines = [line for line in self.lines[at] if line.writer] or self.lines[at]
-        line = lines[next(self.attempt_keys) % len(lines)]
-        one = Try(wire_id, at, call, line, transit_of, self.now())
-        kind = self.load.class_named(call.class_name)
-        via = self.plant.numbers[transit_of.sender] if transit_of else -1
-        extras = f"dest:{self.plant.numbers[call.destination]};width:{kind.width};via:{via}"
-        fields = {"class": call.class_name, "left": str(int(left_s * 1000)), "key": call.number}
+        self.model.processors[call.origin].add_work(self.now(), self.fleet.work.look)
+        self._offer(call, call.origin, remaining_s, None)
+
+    def _offer(
+        self, call: OfferedCall, gatekeeper: str, remaining_s: float, transit_of: Attempt | None
+    ) -> Offer | None:
+        wire_id = f"{next(self.wire_ids):016x}"
+        connections = [
+            connection for connection in self.connections[gatekeeper] if connection.writer
+        ] or self.connections[gatekeeper]
+        connection = connections[next(self.attempt_keys) % len(connections)]
+        offer = Offer(wire_id, gatekeeper, call, connection, transit_of, self.now())
+        call_class = self.load.class_named(call.class_name)
+        via = self.model.numbers[transit_of.sender] if transit_of else -1
+        extras = f"dest:{self.model.numbers[call.destination]};width:{call_class.width};via:{via}"
+        fields = {"class": call.class_name, "left": str(int(remaining_s * 1000)), "key": call.dedup_key}
         if transit_of:
             extras += ";transit:1"
         elif call.tries > 1:
             fields["retry"] = "1"
         fields["extras"] = extras
         sdp = f"{wire_id}\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n"
-        if not line.say("setup", wire_id, fields=fields, sdp=sdp):
+        if not connection.send("setup", wire_id, fields=fields, sdp=sdp):
             if not transit_of:
                 self._redial(call, 0.0)
             return None
         self.messages["set-ups to gatekeepers"] += 1
-        self.tries[wire_id] = one
-        one.timer = self.at(self.now() + left_s, self._give_up, one)
-        return one
+        self.offers[wire_id] = offer
+        offer.timer = self.schedule(self.now() + remaining_s, self._abandon, offer)
+        return offer
 
-    def _give_up(self, one: Try) -> None:
-        if one.answered or one.ended:
+    def _abandon(self, offer: Offer) -> None:
+        """The caller's time has passed: release the set-up at its gatekeeper."""
+        if offer.answered or offer.ended:
             return
-        one.ended = one.given_up = True
-        one.line.say("release", one.wire_id, cause=16)
-        self.at(self.now() + 2.0, self._forget, one)
-        if one.transit_of:
-            self._refused(one.transit_of, 503, "via_said_no")
+        offer.ended = offer.abandoned = True
+        offer.connection.send("release", offer.wire_id, cause=16)
+        self.schedule(self.now() + 2.0, self._forget, offer)
+        if offer.transit_of:
+            self._refuse_attempt(offer.transit_of, 503, "via_said_no")
         else:
-            self._redial(one.call, 0.0)
+            self._redial(offer.call, 0.0)
 
-    def _forget(self, one: Try) -> None:
-        self.tries.pop(one.wire_id, None)
+    def _forget(self, offer: Offer) -> None:
+        self.offers.pop(offer.wire_id, None)
 
-    def _redial(self, call: CallerCall, told_s: float) -> None:
+    def _redial(self, call: OfferedCall, retry_after_s: float) -> None:
         redial = self.load.redial
-        kind = self.load.class_named(call.class_name)
-        wait_s = max(redial.wait_s, told_s if call.draw.random() < redial.heed_share else 0.0)
-        if call.tries > redial.max_redials or self.now() + wait_s >= call.first_s + kind.deadline_s:
-            call.over = True
+        call_class = self.load.class_named(call.class_name)
+        wait_s = max(redial.wait_s, retry_after_s if call.redial_rng.random() < redial.heed_share else 0.0)
+        if call.tries > redial.max_redials or self.now() + wait_s >= call.first_try_s + call_class.deadline_s:
+            call.decided = True
             return
-        self.at(self.now() + wait_s, self._dial, call)
+        self.schedule(self.now() + wait_s, self._dial, call)
 
-    def _row(self, row: dict[str, Any]) -> None:
-        one = self.tries.get(row.get("id", ""))
-        if one is None or row.get("type") not in ("answer", "release"):
+    def _on_caller_message(self, message: dict[str, Any]) -> None:
+        offer = self.offers.get(message.get("id", ""))
+        if offer is None or message.get("type") not in ("answer", "release"):
             return
-        if row["type"] == "answer":
-            if one.given_up:
-                return  # it crossed the caller's leaving
-            if one.answered or one.ended:
-                return self.violated(f"a second final answer for {one.wire_id}")
-            one.answered = True
-            if one.timer:
-                one.timer.cancel()
-            if one.transit_of:
-                self._answer(one.transit_of)
+        if message["type"] == "answer":
+            if offer.abandoned:
+                return  # the answer crossed the caller's release
+            if offer.answered or offer.ended:
+                return self.record_violation(f"second final answer for call {offer.wire_id}")
+            offer.answered = True
+            if offer.timer:
+                offer.timer.cancel()
+            if offer.transit_of:
+                self._answer_arrived(offer.transit_of)
             else:
-                self._stands(one)
+                self._record_answer(offer)
             return
-        if one.given_up:
-            return self._forget(one)
-        if one.ended:
-            return self.violated(f"a second release of {one.wire_id}")
-        one.ended = True
-        if one.timer:
-            one.timer.cancel()
-        self._forget(one)
-        if one.answered:
-            if one.call.stood_s >= 0 and row.get("cause") != 16 and not one.transit_of:
-                one.call.cut = True
+        if offer.abandoned:
+            return self._forget(offer)
+        if offer.ended:
+            return self.record_violation(f"second release of call {offer.wire_id}")
+        offer.ended = True
+        if offer.timer:
+            offer.timer.cancel()
+        self._forget(offer)
+        if offer.answered:
+            if offer.call.answered_s >= 0 and message.get("cause") != 16 and not offer.transit_of:
+                offer.call.cut = True
             return
-        wait_s = float(row.get("fields", {}).get("wait", 0)) / 1000
-        if one.transit_of:
-            note = "far_cpu_full" if row.get("cause") == 42 else "via_said_no"
-            self._refused(one.transit_of, 503, note)
+        wait_s = float(message.get("fields", {}).get("wait", 0)) / 1000
+        if offer.transit_of:
+            x_cause = "far_cpu_full" if message.get("cause") == 42 else "via_said_no"
+            self._refuse_attempt(offer.transit_of, 503, x_cause)
         else:
-            self._redial(one.call, wait_s)
+            self._redial(offer.call, wait_s)
 
-    def _stands(self, one: Try) -> None:
-        call = one.call
-        call.stood_s, call.over = self.now(), True
-        self.delays.record_value(max(1, int((call.stood_s - call.first_s) * 1e6)))
-        attempt = one.out
+    def _record_answer(self, offer: Offer) -> None:
+        call = offer.call
+        call.answered_s, call.decided = self.now(), True
+        self.setup_delays_us.record_value(max(1, int((call.answered_s - call.first_try_s) * 1e6)))
+        attempt = offer.attempt
         call.tandem = attempt is not None and attempt.receiver != call.destination
-        self.at(self.now() + call.holding_s, self._hang_up, one)
+        self.schedule(self.now() + call.holding_time_s, self._hang_up, offer)
 
-    def _line_lost(self, line: CallerLine) -> None:
-        for one in [
-            one for one in self.tries.values() if one.line is line and not one.answered and not one.ended
+    def _on_caller_connection_lost(self, connection: CallerConnection) -> None:
+        for offer in [
+            offer
+            for offer in self.offers.values()
+            if offer.connection is connection and not offer.answered and not offer.ended
         ]:
-            one.ended = True
-            self._forget(one)
-            if one.timer:
-                one.timer.cancel()
+            offer.ended = True
+            self._forget(offer)
+            if offer.timer:
+                offer.timer.cancel()
             if self.stop.is_set():
                 continue
-            if self.now() - one.offered_s < SLACK_S and not one.again:
-                # A set-up that crosses the close of a connection is sent once more.
-                left_s = one.timer.when() - self.loop.time() if one.timer else 0.0
-                fresh = self._offer(one.call, one.at, left_s, one.transit_of)
-                if fresh:
-                    fresh.again = True
-                    if one.transit_of:
-                        one.transit_of.transit = fresh
+            if self.now() - offer.offered_s < RULE_TOLERANCE_S and not offer.resent:
+                # A set-up that crossed the close of its connection is sent again, once.
+                remaining_s = offer.timer.when() - self.loop.time() if offer.timer else 0.0
+                resent_offer = self._offer(offer.call, offer.gatekeeper, remaining_s, offer.transit_of)
+                if resent_offer:
+                    resent_offer.resent = True
+                    if offer.transit_of:
+                        offer.transit_of.transit = resent_offer
                 continue
-            self.violated(f"{one.wire_id} lost with its connection to {one.at}")
-            if one.transit_of:
-                self._refused(one.transit_of, 503, "via_said_no")
+            self.record_violation(
+                f"call {offer.wire_id} lost with its connection to gatekeeper {offer.gatekeeper}"
+            )
+            if offer.transit_of:
+                self._refuse_attempt(offer.transit_of, 503, "via_said_no")
             else:
-                self._redial(one.call, 0.0)
+                self._redial(offer.call, 0.0)
 
     # Store switches
 
     def _group_changed(self, group: Any) -> None:
-        a, b = group.ends
-        for pair in ((a, b), (b, a)):
-            self.ports[pair].tell_state()
+        first, second = group.ends
+        for pair in ((first, second), (second, first)):
+            self.ports[pair].send_state()
 
-    def _sip(self, port: SwitchPort, link: SipLink, message: SipMessage) -> None:
+    def _on_sip_message(self, port: SwitchPort, connection: SipConnection, message: SipMessage) -> None:
         method = message.start.split(" ", 1)[0]
         if method == "INVITE":
-            self._invite(port, link, message)
+            self._invite(port, connection, message)
         elif method == "CANCEL":
-            link.send(_answer(message, 200))
-            self._cancelled(message.call_id, port.gatekeeper)
+            connection.send(_sip_response(message, 200))
+            self._cancel_attempt(message.call_id, port.gatekeeper)
         elif method == "BYE":
-            link.send(_answer(message, 200))
-            one = self.tries.get(message.call_id)
-            if one and one.out:
-                self._end_attempt(one.out, tell_transit=True)
+            connection.send(_sip_response(message, 200))
+            offer = self.offers.get(message.call_id)
+            if offer and offer.attempt:
+                self._end_attempt(offer.attempt, release_transit=True)
         elif method == "OPTIONS":
-            link.send(_answer(message, 200))
+            connection.send(_sip_response(message, 200))
 
-    def _sip_lost(self, port: SwitchPort, link: SipLink) -> None:
-        """The set-ups open on a connection that ends are given up."""
-        for one in list(self.tries.values()):
-            attempt = one.out
-            if attempt and attempt.link is link and not attempt.stood:
-                self._cancelled(one.wire_id, port.gatekeeper)
+    def _on_sip_connection_lost(self, port: SwitchPort, connection: SipConnection) -> None:
+        """Cancel the unanswered attempts of a connection that was closed."""
+        for offer in list(self.offers.values()):
+            attempt = offer.attempt
+            if attempt and attempt.connection is connection and not attempt.answered:
+                self._cancel_attempt(offer.wire_id, port.gatekeeper)
 
-    def _invite(self, port: SwitchPort, link: SipLink, message: SipMessage) -> None:
+    def _invite(self, port: SwitchPort, connection: SipConnection, message: SipMessage) -> None:
         sender, receiver, now = port.gatekeeper, port.switch, self.now()
-        one = self.tries.get(message.call_id)
-        if one is None or one.at != sender:
-            self.violated(f"a set-up that no caller sent: {message.call_id}")
-            return link.send(_answer(message, 500))
-        if one.out is not None:
-            self.violated(f"two attempts of {one.wire_id} out at once")
-        if now - one.freed_s < self.fleet.rules.release_delay_s:
-            self.violated(
-                f"{one.wire_id} again {now - one.freed_s:.3f} s after an attempt that timed out or was cut"
+        offer = self.offers.get(message.call_id)
+        if offer is None or offer.gatekeeper != sender:
+            self.record_violation(f"set-up for a call that no caller offered: {message.call_id}")
+            return connection.send(_sip_response(message, 500))
+        if offer.attempt is not None:
+            self.record_violation(f"two attempts of call {offer.wire_id} in progress at once")
+        if now - offer.attempt_lost_s < self.fleet.rules.release_delay_s:
+            self.record_violation(
+                f"new attempt of call {offer.wire_id} {now - offer.attempt_lost_s:.3f} s after "
+                "one that timed out or was cut"
+            )
+        if offer.transit_of and receiver != offer.call.destination:
+            self.record_violation(
+                f"attempt of call {offer.wire_id}, in transit, to another switch than its destination"
             )
-        if one.transit_of and receiver != one.call.destination:
-            self.violated(f"{one.wire_id}, in transit, past its destination")
-        attempt = Attempt(one, sender, receiver, link, key=f"{next(self.attempt_keys)}")
-        one.out = attempt
-        one.call.attempts += 1
-        kind = self.load.class_named(one.call.class_name)
-        group = self.plant.group(sender, receiver)
-        if group is None or not group.seize(attempt.key, kind.width, now):
-            return self._refused(attempt, 480, "all_trunks_busy")
-        done = self.plant.processors[sender].take(now, 1.0)
-        if done is None:
-            return self._refused(attempt, 503, "cpu_full")
-        self.at(done + self.plant.delay_s(sender, receiver), self._arrived, attempt)
-
-    def _arrived(self, attempt: Attempt) -> None:
-        """The set-up at the far switch. One that was given up is worked on all the same."""
-        now, call = self.now(), attempt.one.call
-        processor = self.plant.processors[attempt.receiver]
-        back_s = self.plant.delay_s(attempt.sender, attempt.receiver)
+        attempt = Attempt(offer, sender, receiver, connection, key=f"{next(self.attempt_keys)}")
+        offer.attempt = attempt
+        offer.call.attempts += 1
+        call_class = self.load.class_named(offer.call.class_name)
+        group = self.model.group(sender, receiver)
+        if group is None or not group.seize(attempt.key, call_class.width, now):
+            return self._refuse_attempt(attempt, 480, "all_trunks_busy")
+        done_s = self.model.processors[sender].offer_setup(now, 1.0)
+        if done_s is None:
+            return self._refuse_attempt(attempt, 503, "cpu_full")
+        self.schedule(done_s + self.model.delay_s(sender, receiver), self._attempt_arrived, attempt)
+
+    def _attempt_arrived(self, attempt: Attempt) -> None:
+        """The set-up reaches the receiver, whose processor works on it even if it was cancelled meanwhile."""
+        now, call = self.now(), attempt.offer.call
+        processor = self.model.processors[attempt.receiver]
+        back_s = self.model.delay_s(attempt.sender, attempt.receiver)
         if attempt.receiver == call.destination:
-            done = processor.take(now, 1.0)
-            if done is None:
-                self.at(now + back_s, self._refused, attempt, 503, "cpu_full")
+            done_s = processor.offer_setup(now, 1.0)
+            if done_s is None:
+                self.schedule(now + back_s, self._refuse_attempt, attempt, 503, "cpu_full")
                 return
-            self.at(done, self._accepted, attempt)
-        elif not attempt.over:
-            processor.work(now, self.fleet.work.look)
-            left_s = 0.0
-            if attempt.one.timer:
-                left_s = attempt.one.timer.when() - self.loop.time() - 2 * back_s
-            attempt.transit = self._offer(call, attempt.receiver, left_s, attempt) if left_s > 0.05 else None
+            self.schedule(done_s, self._setup_processed, attempt)
+        elif not attempt.ended:
+            processor.add_work(now, self.fleet.work.look)
+            remaining_s = 0.0
+            if attempt.offer.timer:
+                remaining_s = attempt.offer.timer.when() - self.loop.time() - 2 * back_s
+            attempt.transit = (
+                self._offer(call, attempt.receiver, remaining_s, attempt) if remaining_s > 0.05 else None
+            )
             if attempt.transit is None:
-                self.at(now + back_s, self._refused, attempt, 503, "via_said_no")
+                self.schedule(now + back_s, self._refuse_attempt, attempt, 503, "via_said_no")
 
-    def _accepted(self, attempt: Attempt) -> None:
-        done = self.plant.processors[attempt.receiver].work(self.now(), self.fleet.work.answer)
-        self.at(done + self.plant.delay_s(attempt.sender, attempt.receiver), self._answer, attempt)
+    def _setup_processed(self, attempt: Attempt) -> None:
+        done_s = self.model.processors[attempt.receiver].add_work(self.now(), self.fleet.work.answer)
+        self.schedule(
+            done_s + self.model.delay_s(attempt.sender, attempt.receiver), self._answer_arrived, attempt
+        )
 
-    def _answer(self, attempt: Attempt) -> None:
-        """At the sender's switch; its gatekeeper hears of it once that has worked on it."""
-        if not attempt.over:
-            done = self.plant.processors[attempt.sender].work(self.now(), self.fleet.work.answer)
-            self.at(done, self._answered, attempt)
+    def _answer_arrived(self, attempt: Attempt) -> None:
+        """The answer reaches the sender's switch, which processes it before it answers its gatekeeper."""
+        if not attempt.ended:
+            done_s = self.model.processors[attempt.sender].add_work(self.now(), self.fleet.work.answer)
+            self.schedule(done_s, self._send_answer, attempt)
 
-    def _answered(self, attempt: Attempt) -> None:
-        if attempt.over:
+    def _send_answer(self, attempt: Attempt) -> None:
+        if attempt.ended:
             return
-        attempt.stood = True
+        attempt.answered = True
         body = f"from-{attempt.receiver}\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n"
-        attempt.link.send(sip("SIP/2.0 200 OK", attempt.one.wire_id, "1 INVITE", body=body))
+        attempt.connection.send(format_sip("SIP/2.0 200 OK", attempt.offer.wire_id, "1 INVITE", body=body))
 
-    def _refused(self, attempt: Attempt, status: int, note: str) -> None:
-        if attempt.over:
+    def _refuse_attempt(self, attempt: Attempt, status: int, x_cause: str) -> None:
+        if attempt.ended:
             return
-        self._free(attempt)
-        group = self.plant.group(attempt.sender, attempt.receiver)
+        self._finish_attempt(attempt)
+        group = self.model.group(attempt.sender, attempt.receiver)
         state = f"X-Group: free:{group.free};size:{group.size}" if group else "X-Group: free:0;size:0"
-        attempt.link.send(
-            sip(f"SIP/2.0 {status} No", attempt.one.wire_id, "1 INVITE", f"X-Cause: {note}", state)
+        attempt.connection.send(
+            format_sip(
+                f"SIP/2.0 {status} No", attempt.offer.wire_id, "1 INVITE", f"X-Cause: {x_cause}", state
+            )
         )
 
-    def _free(self, attempt: Attempt) -> None:
-        attempt.over = True
-        if attempt.one.out is attempt:
-            attempt.one.out = None
-        group = self.plant.group(attempt.sender, attempt.receiver)
+    def _finish_attempt(self, attempt: Attempt) -> None:
+        """Mark an attempt as ended and free its circuits."""
+        attempt.ended = True
+        if attempt.offer.attempt is attempt:
+            attempt.offer.attempt = None
+        group = self.model.group(attempt.sender, attempt.receiver)
         if group:
             group.release(attempt.key, self.now())
 
-    def _cancelled(self, wire_id: str, at: str) -> None:
-        one = self.tries.get(wire_id)
-        if one and one.at == at and one.out:
-            one.freed_s = self.now()
-            self._end_attempt(one.out, tell_transit=True)
+    def _cancel_attempt(self, wire_id: str, gatekeeper: str) -> None:
+        offer = self.offers.get(wire_id)
+        if offer and offer.gatekeeper == gatekeeper and offer.attempt:
+            offer.attempt_lost_s = self.now()
+            self._end_attempt(offer.attempt, release_transit=True)
 
-    def _end_attempt(self, attempt: Attempt, tell_transit: bool) -> None:
-        """The gatekeeper has given it up, or released it: so is the leg beyond, at the tandem."""
-        if attempt.over:
+    def _end_attempt(self, attempt: Attempt, release_transit: bool) -> None:
+        """End an attempt that its gatekeeper cancelled or released, and release the leg beyond the tandem."""
+        if attempt.ended:
             return
-        self._free(attempt)
+        self._finish_attempt(attempt)
         transit = attempt.transit
-        if tell_transit and transit and not transit.ended:
-            transit.ended = transit.given_up = True
+        if release_transit and transit and not transit.ended:
+            transit.ended = transit.abandoned = True
             if transit.timer:
                 transit.timer.cancel()
-            transit.line.say("release", transit.wire_id, cause=16)
-            self.at(self.now() + 2.0, self._forget, transit)
+            transit.connection.send("release", transit.wire_id, cause=16)
+            self.schedule(self.now() + 2.0, self._forget, transit)
 
-    def _hang_up(self, one: Try) -> None:
-        """The called side ends the call: a release that passes the processors, and frees as it goes."""
-        attempt = one.out
-        if attempt is None or attempt.over:
+    def _hang_up(self, offer: Offer) -> None:
+        """The called side ends the call: the release passes each processor and frees the circuits leg by leg."""
+        attempt = offer.attempt
+        if attempt is None or attempt.ended:
             return
         legs = [attempt]
-        if attempt.transit and attempt.transit.out:
-            legs.append(attempt.transit.out)
+        if attempt.transit and attempt.transit.attempt:
+            legs.append(attempt.transit.attempt)
         far = legs[-1]
-        done = self.plant.processors[far.receiver].work(self.now(), self.fleet.work.release)
-        self._release_leg(legs, done + self.plant.delay_s(far.sender, far.receiver))
+        done_s = self.model.processors[far.receiver].add_work(self.now(), self.fleet.work.release)
+        self._release_leg(legs, done_s + self.model.delay_s(far.sender, far.receiver))
 
     def _release_leg(self, legs: list[Attempt], at_s: float) -> None:
-        def due() -> None:
+        """Release the last leg when the release reaches its sender, then the legs before it."""
+
+        def reached_sender() -> None:
             leg = legs[-1]
-            done = self.plant.processors[leg.sender].work(self.now(), self.fleet.work.release)
-            self.at(done, ended)
+            done_s = self.model.processors[leg.sender].add_work(self.now(), self.fleet.work.release)
+            self.schedule(done_s, release)
 
-        def ended() -> None:
+        def release() -> None:
             leg = legs.pop()
-            if not leg.over:
-                self._free(leg)
-                call_id = leg.one.wire_id
-                link = leg.link if leg.link.open else self.ports[leg.sender, leg.receiver].any_link()
-                if link:
-                    link.send(
-                        sip(f"BYE sip:{call_id}@net SIP/2.0", call_id, "2 BYE", "Reason: Q.850;cause=16")
+            if not leg.ended:
+                self._finish_attempt(leg)
+                call_id = leg.offer.wire_id
+                connection = (
+                    leg.connection
+                    if leg.connection.open
+                    else self.ports[leg.sender, leg.receiver].any_connection()
+                )
+                if connection:
+                    connection.send(
+                        format_sip(
+                            f"BYE sip:{call_id}@net SIP/2.0", call_id, "2 BYE", "Reason: Q.850;cause=16"
+                        )
                     )
             if legs:
-                self._release_leg(legs, self.now() + self.plant.delay_s(legs[-1].sender, legs[-1].receiver))
+                self._release_leg(legs, self.now() + self.model.delay_s(legs[-1].sender, legs[-1].receiver))
 
-        self.at(at_s, due)
+        self.schedule(at_s, reached_sender)
 
 
-def _answer(message: SipMessage, status: int) -> bytes:
-    return sip(f"SIP/2.0 {status} {'OK' if status == 200 else 'No'}", message.call_id, message.cseq)
+def _sip_response(message: SipMessage, status: int) -> bytes:
+    return format_sip(f"SIP/2.0 {status} {'OK' if status == 200 else 'No'}", message.call_id, message.cseq)
 
 
-def _usage(pid: int) -> tuple[float, float]:
-    """CPU seconds and resident megabytes of a process, from /proc; zeros where there is none."""
+def _process_usage(pid: int) -> tuple[float, float]:
+    """Return the CPU seconds and resident megabytes of a process, from /proc, or zeros if they cannot be read."""
     try:
         values = Path(f"/proc/{pid}/stat").read_text().rsplit(") ", 1)[1].split()
         tick = os.sysconf("SC_CLK_TCK")
--- a/tansyspur/rig/standins.py
+++ b/tansyspur/rig/standins.py
@@ -1,4 +1,7 @@
-"""Stand-ins on sockets: store switches that speak SIP, the command channel, and callers' connections."""
+"""Socket side of the rig: SIP ports of the store switches, command channels, caller connections, peer datagrams.
+
+Each class only transfers messages; the handlers that a run passes in decide what becomes of them.
+"""
 
 import asyncio
 import contextlib
@@ -11,26 +14,30 @@
 
 
 class SipMessage:
+    """A parsed SIP message; header names are in lower case. Raises KeyError without Call-ID or CSeq."""
+
     __slots__ = ("body", "call_id", "cseq", "headers", "start")
 
     def __init__(self, head: str, body: bytes) -> None:
-        self.start, *rows = head.split("\r\n")
+        self.start, *header_lines = head.split("\r\n")
         self.headers = {
-            name.strip().lower(): value.strip() for name, _, value in (r.partition(":") for r in rows)
+            name.strip().lower(): value.strip()
+            for name, _, value in (row.partition(":") for row in header_lines)
         }
         self.call_id = self.headers["call-id"]
         self.cseq = self.headers["cseq"]
         self.body = body
 
 
-def sip(start: str, call_id: str, cseq: str, *headers: str, body: str = "") -> bytes:
+def format_sip(start: str, call_id: str, cseq: str, *headers: str, body: str = "") -> bytes:
+    """Return a SIP message with this start line; `headers` are further complete header lines."""
     data = body.encode()
     lines = [start, "Via: SIP/2.0/TCP switch", f"Call-ID: {call_id}", f"CSeq: {cseq}", *headers]
     return "\r\n".join([*lines, f"Content-Length: {len(data)}", "", ""]).encode() + data
 
 
-class SipLink:
-    """One connection from a gatekeeper to a stand-in switch."""
+class SipConnection:
+    """A connection from a gatekeeper to a stand-in switch."""
 
     def __init__(self, port: "SwitchPort", writer: asyncio.StreamWriter) -> None:
         self.port, self.writer = port, writer
@@ -46,71 +53,78 @@
 
 
 class SwitchPort:
-    """Where one gatekeeper reaches one store switch: who speaks is known by the port."""
+    """The listening port at which one gatekeeper reaches one store switch.
+
+    Each pair has a port of its own, so that the port identifies the gatekeeper. `group_state` returns the value of
+    X-Group that is sent on each new connection and by `send_state`.
+    """
 
     def __init__(
         self,
         gatekeeper: str,
         switch: str,
-        on_message: Callable[["SwitchPort", SipLink, SipMessage], None],
-        on_lost: Callable[["SwitchPort", SipLink], None],
+        on_message: Callable[["SwitchPort", SipConnection, SipMessage], None],
+        on_lost: Callable[["SwitchPort", SipConnection], None],
         group_state: Callable[[], str],
     ) -> None:
         self.gatekeeper, self.switch = gatekeeper, switch
         self.on_message, self.on_lost, self.group_state = on_message, on_lost, group_state
-        self.links: list[SipLink] = []
-        self.sent = self.heard = 0
+        self.connections: list[SipConnection] = []
+        self.sent = self.received = 0
 
     async def open(self) -> int:
+        """Start to listen and return the port number."""
         self.server = await asyncio.start_server(self._serve, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        link = SipLink(self, writer)
-        link.send(self._state())
-        self.links.append(link)
+        connection = SipConnection(self, writer)
+        connection.send(self._state())
+        self.connections.append(connection)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n"))[:-4].decode()
                 length = int(
-                    next(r for r in head.split("\r\n") if r.lower().startswith("content-length")).split(":")[
-                        1
-                    ]
+                    next(row for row in head.split("\r\n") if row.lower().startswith("content-length")).split(
+                        ":"
+                    )[1]
                 )
                 message = SipMessage(head, await reader.readexactly(length) if length else b"")
-                self.heard += 1
-                self.on_message(self, link, message)
-        self.links.remove(link)
-        self.on_lost(self, link)
+                self.received += 1
+                self.on_message(self, connection, message)
+        self.connections.remove(connection)
+        self.on_lost(self, connection)
         writer.close()
 
     def _state(self) -> bytes:
-        return sip("NOTIFY sip:group@net SIP/2.0", "state", "1 NOTIFY", f"X-Group: {self.group_state()}")
+        return format_sip(
+            "NOTIFY sip:group@net SIP/2.0", "state", "1 NOTIFY", f"X-Group: {self.group_state()}"
+        )
 
-    def tell_state(self) -> None:
-        data = self._state() if self.links else b""
-        for link in self.links:
-            link.send(data)
+    def send_state(self) -> None:
+        data = self._state() if self.connections else b""
+        for connection in self.connections:
+            connection.send(data)
 
-    def any_link(self) -> SipLink | None:
-        return next((link for link in self.links if link.open), None)
+    def any_connection(self) -> SipConnection | None:
+        return next((connection for connection in self.connections if connection.open), None)
 
     def close(self) -> None:
         self.server.close()
-        for link in self.links:
-            link.writer.close()
+        for connection in self.connections:
+            connection.writer.close()
 
 
 class CommandChannel:
-    """The list of store switches, as one gatekeeper is told it: numbered events."""
+    """The command channel of one gatekeeper: numbered events that carry the list of store switches."""
 
     def __init__(self, endpoints: list[dict[str, Any]]) -> None:
         self.events: list[dict[str, Any]] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.closed = asyncio.Event()
-        self.tell(endpoints, snapshot=True)
+        self.send_event(endpoints, snapshot=True)
 
-    def tell(self, endpoints: list[dict[str, Any]], snapshot: bool = False) -> None:
+    def send_event(self, endpoints: list[dict[str, Any]], snapshot: bool = False) -> None:
         event = {
             "cursor": len(self.events) + 1,
             "nodes": {"index": len(self.events) + 1, "snapshot": snapshot, "endpoints": endpoints},
@@ -120,6 +134,7 @@
             writer.write(json.dumps(event).encode() + b"\n")
 
     async def open(self) -> int:
+        """Start to listen and return the port number."""
         self.server = await asyncio.start_server(self._serve, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -145,25 +160,30 @@
             writer.close()
 
 
-class CallerLine:
-    """A connection of JSON lines to one gatekeeper, dialled again when it ends."""
+class CallerConnection:
+    """A caller-side connection of JSON lines to one gatekeeper; reconnects when it is closed."""
 
     def __init__(
-        self, place: tuple[str, int], on_row: Callable[[dict[str, Any]], None], on_lost: Callable[[], None]
+        self,
+        address: tuple[str, int],
+        on_message: Callable[[dict[str, Any]], None],
+        on_lost: Callable[[], None],
     ) -> None:
-        self.place, self.on_row, self.on_lost = place, on_row, on_lost
+        self.address, self.on_message, self.on_lost = address, on_message, on_lost
         self.writer: asyncio.StreamWriter | None = None
         self.closing = False
 
     async def connect(self) -> None:
-        reader, self.writer = await asyncio.open_connection(*self.place)
-        self.say("ping", "00000000000000ff", cause=0)  # a connection that says nothing is closed
+        reader, self.writer = await asyncio.open_connection(*self.address)
+        self.send(
+            "ping", "00000000000000ff", cause=0
+        )  # the gatekeeper closes connections on which it receives nothing
         self.task = asyncio.create_task(self._read(reader))
 
     async def ready(self) -> bool:
-        """Whether the gatekeeper passes the front's test; one connection, one question."""
+        """Return whether the gatekeeper answers a ping with cause 1 (serving), on a connection of its own."""
         try:
-            reader, writer = await asyncio.open_connection(*self.place)
+            reader, writer = await asyncio.open_connection(*self.address)
         except OSError:
             return False
         try:
@@ -178,7 +198,7 @@
     async def _read(self, reader: asyncio.StreamReader) -> None:
         with contextlib.suppress(OSError):
             while line := await reader.readline():
-                self.on_row(json.loads(line))
+                self.on_message(json.loads(line))
         self.writer = None
         if not self.closing:
             self.on_lost(self)
@@ -187,11 +207,12 @@
                     return await self.connect()
                 await asyncio.sleep(0.1)
 
-    def say(self, kind: str, call_id: str, **more: Any) -> bool:
+    def send(self, message_type: str, call_id: str, **more: Any) -> bool:
+        """Send a message and return True, or return False if the connection is closed."""
         if self.writer is None or self.writer.is_closing():
             return False
-        row = {"type": kind, "id": call_id, "fields": {}, **more}
-        self.writer.write(json.dumps(row, separators=(",", ":")).encode() + b"\n")
+        message = {"type": message_type, "id": call_id, "fields": {}, **more}
+        self.writer.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
         return True
 
     def close(self) -> None:
@@ -200,9 +221,12 @@
             self.writer.close()
 
 
-class PeerNet:
-    """The datagrams between gatekeepers. Each reaches each other at an address that is set aside for the pair,
-    and hears from it at the same one: what says whose message it is."""
+class PeerNetwork:
+    """Forwards the datagrams between gatekeepers, with the delay between their store switches.
+
+    Each ordered pair of gatekeepers has an address of its own: the first one sends to the second one there, and
+    receives the second one's datagrams from it. The address therefore identifies the sender.
+    """
 
     def __init__(
         self, host: str, peers: dict[str, int], delay_s: Callable[[str, str], float], messages: "Counter[str]"
@@ -212,37 +236,40 @@
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
-        for a in self.peers:
-            for b in (None, *self.peers):
-                if a != b:
+        for sender in self.peers:
+            for receiver in (None, *self.peers):
+                if sender != receiver:
                     transport, _ = await loop.create_datagram_endpoint(
-                        lambda a=a, b=b: _PeerPort(self, a, b), local_addr=(self.host, 0)
+                        lambda sender=sender, receiver=receiver: _PeerProtocol(self, sender, receiver),
+                        local_addr=(self.host, 0),
                     )
-                    self.sockets[a, b] = transport
+                    self.sockets[sender, receiver] = transport
 
     def port(self, name: str, other: str | None) -> int:
-        """Where the one reaches the other; None: all others. Its own place is its own address."""
-        found = self.sockets.get((name, other))
-        if found is None:
+        """Return the port at which a gatekeeper reaches another one (None: all others), or its own port."""
+        transport = self.sockets.get((name, other))
+        if transport is None:
             return self.peers[name] if name == other else 9
-        return int(found.get_extra_info("sockname")[1])
+        return int(transport.get_extra_info("sockname")[1])
 
-    def carry(self, sender: str, to: str | None, data: bytes) -> None:
+    def forward(self, sender: str, receiver: str | None, data: bytes) -> None:
         loop = asyncio.get_running_loop()
-        for other in [to] if to else [one for one in self.peers if one != sender]:
+        for other in [receiver] if receiver else [peer for peer in self.peers if peer != sender]:
             self.messages["fill reports"] += 1
-            way = self.sockets[other, sender]
-            loop.call_later(self.delay_s(sender, other), way.sendto, data, (self.host, self.peers[other]))
+            transport = self.sockets[other, sender]
+            loop.call_later(
+                self.delay_s(sender, other), transport.sendto, data, (self.host, self.peers[other])
+            )
 
     def close(self) -> None:
-        for one in self.sockets.values():
-            one.close()
+        for transport in self.sockets.values():
+            transport.close()
 
 
-class _PeerPort(asyncio.DatagramProtocol):
-    def __init__(self, net: PeerNet, sender: str, to: str | None) -> None:
-        self.net, self.sender, self.to = net, sender, to
+class _PeerProtocol(asyncio.DatagramProtocol):
+    def __init__(self, network: PeerNetwork, sender: str, receiver: str | None) -> None:
+        self.network, self.sender, self.receiver = network, sender, receiver
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        if addr[1] == self.net.peers[self.sender]:
-            self.net.carry(self.sender, self.to, data)
+        if addr[1] == self.network.peers[self.sender]:
+            self.network.forward(self.sender, self.receiver, data)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,8 @@
-"""The rig: its parts by themselves, and runs of real gatekeepers among them."""
+"""Tests of the rig: the simulation model on its own, and complete runs with real gatekeeper processes.
+
+The runs guard against lost or doubly used circuits, broken interface rules, unreadable results, and gatekeeper
+processes that outlive an interrupted run.
+"""
 
 import json
 import os
@@ -19,21 +23,25 @@
 from tests.test_records import EXAMPLES
 from tests.world import LONG, ROOT
 
-pytestmark = pytest.mark.xdist_group("rig")  # eight processes a run: one run at a time
+pytestmark = pytest.mark.xdist_group("rig")  # a run starts eight processes, so only one run at a time
 FILES = [str(EXAMPLES / "fleet.cue"), str(EXAMPLES / "load.cue")]
 
 
-def test_a_processor_works_in_order_and_turns_away_past_its_limit():
-    one = Processor(StoreSwitch("a", "d", 10.0, queue_limit_s=0.25), reject=0.2, draw=random.Random(1))
-    assert one.take(0.0, 1.0) == pytest.approx(0.1) and one.take(0.0, 1.0) == pytest.approx(0.2)
-    assert one.take(0.0, 1.0) == pytest.approx(0.3)
-    assert one.take(0.0, 1.0) is None and one.turned_away == 1
-    assert one.wait_s(0.0) == pytest.approx(0.32)  # turning away was work
-    assert one.work(1.0, 1.0) == pytest.approx(1.1)
+def test_a_processor_works_in_order_and_rejects_set_ups_past_its_queue_limit():
+    processor = Processor(
+        StoreSwitch("a", "d", 10.0, queue_limit_s=0.25), reject_setups=0.2, rng=random.Random(1)
+    )
+    assert processor.offer_setup(0.0, 1.0) == pytest.approx(0.1) and processor.offer_setup(
+        0.0, 1.0
+    ) == pytest.approx(0.2)
+    assert processor.offer_setup(0.0, 1.0) == pytest.approx(0.3)
+    assert processor.offer_setup(0.0, 1.0) is None and processor.rejected == 1
+    assert processor.wait_s(0.0) == pytest.approx(0.32)  # the rejection took processor work as well
+    assert processor.add_work(1.0, 1.0) == pytest.approx(1.1)
 
 
 @given(st.integers(0, 1000), st.lists(st.floats(0.0, 2.0), min_size=1, max_size=40))
-def test_other_work_slows_by_its_share_and_no_more(seed, works):
+def test_other_work_slows_a_processor_by_at_most_its_share(seed, works):
     other = OtherWork(
         StoreSwitch("a", "d", 1.0, other_share=0.5, other_on_s=1.0, other_off_s=1.0), random.Random(seed)
     )
@@ -44,7 +52,7 @@
         at = done
 
 
-def test_other_work_takes_its_mean_over_a_long_time():
+def test_other_work_takes_its_mean_share_over_a_long_time():
     other = OtherWork(
         StoreSwitch("a", "d", 1.0, other_share=0.5, other_on_s=2.0, other_off_s=1.0), random.Random(3)
     )
@@ -67,24 +75,26 @@
 
 
 def test_a_scaled_load_has_the_same_arrivals_closer_together():
-    one = poisson_times((1.0,), (1000.0,), random.Random(5))
-    two = poisson_times((2.0,), (1000.0,), random.Random(5))
-    assert [t / 2 for t in one][:400] == pytest.approx(two[:400]) and len(one) == pytest.approx(
-        1000, rel=0.15
-    )
+    arrivals = poisson_times((1.0,), (1000.0,), random.Random(5))
+    scaled_arrivals = poisson_times((2.0,), (1000.0,), random.Random(5))
+    assert [time_s / 2 for time_s in arrivals][:400] == pytest.approx(scaled_arrivals[:400]) and len(
+        arrivals
+    ) == pytest.approx(1000, rel=0.15)
     assert poisson_times((0.0, 1.0), (10.0, 10.0), random.Random(5))[0] > 10
 
 
-def test_a_run_places_calls_keeps_the_rules_and_is_read_back(tmp_path):
-    found = tool(
+def test_a_run_offers_calls_violates_no_rule_and_its_result_can_be_read(tmp_path):
+    completed = tool(
         "rig", "run", *FILES, "--seconds", "4", "--seed", "3", "--out", str(tmp_path), "--format", "json"
     )
-    assert found.returncode == 0, found.stderr
-    told = json.loads(found.stdout)
-    assert told["calls"] > 100 and told["violations"] == [] and told["stood"] > 0.5
+    assert completed.returncode == 0, completed.stderr
+    summary = json.loads(completed.stdout)
+    assert summary["calls"] > 100 and summary["violations"] == [] and summary["stood"] > 0.5
     result = results.decode((tmp_path / "run.msgpack").read_bytes())
-    assert len(result.calls) == told["calls"] and not any(one.crashed for one in result.gatekeepers)
-    assert any(one.seizures for one in result.groups)
+    assert len(result.calls) == summary["calls"] and not any(
+        gatekeeper.crashed for gatekeeper in result.gatekeepers
+    )
+    assert any(group.seizures for group in result.groups)
     shown = tool("rig", "show", str(tmp_path / "run.msgpack"))
     assert "casa-1 - casa-2" in shown.stdout
     out = tmp_path / "measured.json"
@@ -93,13 +103,14 @@
     assert captured.returncode == 0, captured.stderr
     measured = json.loads(out.read_text())
     calls = sum(
-        sum(r * w for r, w in zip(s["calls"], measured["windows"], strict=True)) for s in measured["streams"]
+        sum(rate * window for rate, window in zip(stream["calls"], measured["windows"], strict=True))
+        for stream in measured["streams"]
     )
-    assert calls == pytest.approx(told["calls"], rel=0.02)
+    assert calls == pytest.approx(summary["calls"], rel=0.02)
     assert tool("plan", "forecast", FILES[0], str(out), "--format", "json").returncode == 0
 
 
-def test_interrupted_it_ends_all_it_started_and_keeps_what_it_measured(tmp_path):
+def test_an_interrupted_run_stops_its_processes_and_keeps_its_results(tmp_path):
     process = subprocess.Popen(
         [sys.executable, "-m", "tansyspur", "rig", "run", *FILES, "--out", str(tmp_path)],
         cwd=ROOT, stderr=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
@@ -124,14 +135,14 @@
 
 
 def test_the_demo_needs_no_configuration():
-    found = tool("demo", "--seconds", "2")
-    assert found.returncode == 0, found.stderr
-    assert "service" in found.stdout and "rules broken: 0" in found.stdout
+    completed = tool("demo", "--seconds", "2")
+    assert completed.returncode == 0, completed.stderr
+    assert "service" in completed.stdout and "rules broken: 0" in completed.stdout
 
 
 @pytest.mark.parametrize("data", [b"", b"\x00\x01", b"\xc1"])
-def test_what_is_no_result_is_refused(tmp_path, data):
+def test_a_malformed_result_file_is_rejected(tmp_path, data):
     path = tmp_path / "x"
     path.write_bytes(data)
-    found = tool("rig", "show", str(path))
-    assert found.returncode == 2 and str(path) in found.stderr
+    completed = tool("rig", "show", str(path))
+    assert completed.returncode == 2 and str(path) in completed.stderr
