--- a/benchmarks/forecast_chart.py
+++ b/benchmarks/forecast_chart.py
@@ -1,4 +1,7 @@
-"""Forecast beside measured service, as a chart: benchmarks/forecast_chart.py docs/measurements/forecast.json OUT.png"""
+"""Plot the forecast service against the service measured by the rig.
+
+Usage: python benchmarks/forecast_chart.py docs/measurements/forecast.json OUT.png
+"""
 
 import json
 import sys
@@ -16,23 +19,30 @@
     names = sorted({row["fleet"] for row in rows})
     colours = dict(zip(names, ("tab:blue", "tab:orange", "tab:green", "tab:red"), strict=False))
     for row in rows:
-        mark = "o" if row["set"] == "fitted" else "^"
+        marker = "o" if row["set"] == "fitted" else "^"
         left.plot(
-            100 * row["measured"], 100 * row["forecast"], mark, color=colours[row["fleet"]], ms=5, alpha=0.8
+            100 * row["measured"], 100 * row["forecast"], marker, color=colours[row["fleet"]], ms=5, alpha=0.8
         )
-        right.plot(row["scale"], row["difference"], mark, color=colours[row["fleet"]], ms=5, alpha=0.8)
+        right.plot(row["scale"], row["difference"], marker, color=colours[row["fleet"]], ms=5, alpha=0.8)
     ends = [100 * min(row["measured"] for row in rows) - 2, 100]
     left.plot(ends, ends, color="grey", lw=1)
     left.fill_between(
-        ends, [x - 3 for x in ends], [x + 3 for x in ends], color="grey", alpha=0.15, label="within 3 points"
+        ends,
+        [percent - 3 for percent in ends],
+        [percent + 3 for percent in ends],
+        color="grey",
+        alpha=0.15,
+        label="within 3 points",
     )
-    left.set(xlabel="measured service, of 100", ylabel="forecast service, of 100")
+    left.set(xlabel="measured service, %", ylabel="forecast service, %")
     right.axhspan(-3, 3, color="grey", alpha=0.15)
     right.axhline(0, color="grey", lw=1)
-    right.set(xlabel="load, as a multiple of the example's", ylabel="forecast less measured, points")
+    right.set(
+        xlabel="load, as a multiple of the example load", ylabel="forecast minus measured service, points"
+    )
     for name, colour in colours.items():
         left.plot([], [], "o", color=colour, label=name)
-    left.plot([], [], "o", color="black", label="constants fitted to these")
+    left.plot([], [], "o", color="black", label="used to fit the constants")
     left.plot([], [], "^", color="black", label="held out")
     left.legend(fontsize=8)
     figure.savefig(target, dpi=110)
--- a/benchmarks/start_up.py
+++ b/benchmarks/start_up.py
@@ -1,6 +1,8 @@
-"""Start-up and memory of the gatekeeper beside another version's, in turns.
+"""Compare start-up time and memory of the gatekeeper in two source trees, measured alternately.
 
-python benchmarks/start_up.py THIS_TREE OTHER_TREE [ROUNDS]
+Prints the medians of both trees and the median ratio.
+
+Usage: python benchmarks/start_up.py THIS_TREE OTHER_TREE [ROUNDS]
 """
 
 import json
@@ -23,7 +25,7 @@
 
 
 def start(tree: str) -> tuple[float, float]:
-    """Seconds until it passes the front's test, and resident megabytes a second later."""
+    """Return the seconds until the gatekeeper answers a ping with cause 1, and its resident megabytes 1 s later."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
@@ -31,7 +33,7 @@
         config = Path(folder, "config.json")
         document = {"name": "n0", "listen": f"127.0.0.1:{port}", "settings": SETTINGS}
         config.write_text(json.dumps(document))
-        begun = time.perf_counter()
+        started_s = time.perf_counter()
         process = subprocess.Popen(
             [sys.executable, "-m", "tansyspur"], cwd=tree, stderr=subprocess.DEVNULL,
             env={**os.environ, "ROUTER_CONFIG": str(config), "TMPDIR": folder, "ROUTER_NAME": "n0"},
@@ -39,19 +41,19 @@
         try:
             for _ in range(5000):
                 try:
-                    with socket.create_connection(("127.0.0.1", port), timeout=1) as line:
-                        line.sendall(b'{"type":"ping","id":"00000000000000ff","fields":{},"cause":0}\n')
-                        if json.loads(line.makefile().readline() or "{}").get("cause") == 1:
+                    with socket.create_connection(("127.0.0.1", port), timeout=1) as connection:
+                        connection.sendall(b'{"type":"ping","id":"00000000000000ff","fields":{},"cause":0}\n')
+                        if json.loads(connection.makefile().readline() or "{}").get("cause") == 1:
                             break
                 except (OSError, ValueError):
                     pass
                 time.sleep(0.002)
             else:
-                raise RuntimeError(f"{tree}: never ready")
-            spent = time.perf_counter() - begun
+                raise RuntimeError(f"gatekeeper of {tree} was not ready after 5000 attempts")
+            elapsed_s = time.perf_counter() - started_s
             time.sleep(1)
             pages = int(Path(f"/proc/{process.pid}/statm").read_text().split()[1])
-            return spent, pages * os.sysconf("SC_PAGE_SIZE") / 1e6
+            return elapsed_s, pages * os.sysconf("SC_PAGE_SIZE") / 1e6
         finally:
             process.terminate()
             process.wait()
@@ -59,11 +61,14 @@
 
 def main(this: str, other: str, rounds: int) -> None:
     start(this), start(other)
-    found = [(start(this), start(other)) for _ in range(rounds)]
-    for i, what in enumerate(("start-up, s", "resident memory, MB")):
-        mine, theirs = ([pair[side][i] for pair in found] for side in (0, 1))
-        ratio = statistics.median(a / b for a, b in zip(mine, theirs, strict=True))
-        print(f"{what:20} {statistics.median(mine):8.3f} {statistics.median(theirs):8.3f}  ratio {ratio:.3f}")
+    measurements = [(start(this), start(other)) for _ in range(rounds)]
+    for i, label in enumerate(("start-up, s", "resident memory, MB")):
+        this_values, other_values = ([pair[side][i] for pair in measurements] for side in (0, 1))
+        ratio = statistics.median(a / b for a, b in zip(this_values, other_values, strict=True))
+        print(
+            f"{label:20} {statistics.median(this_values):8.3f} {statistics.median(other_values):8.3f}  "
+            f"ratio {ratio:.3f}"
+        )
 
 
 if __name__ == "__main__":
