--- a/tansyspur/__main__.py
+++ b/tansyspur/__main__.py
@@ -250,7 +250,7 @@
         await self.gatekeeper.not_paused.wait()  # a paused process takes over no callers
 
     async def wait_for_stop_or_exit(self, predecessor: Partner) -> None:
-        waits = [asyncio.ensure_future(event.wait()) for event in (self.stop_requested, predecessor.gone)]
+        waits = [asyncio.ensure_future(event.wait()) for event in (self.stop_requested, predecessor.ended)]
         try:
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -258,7 +258,7 @@
                 wait.cancel()
 
     async def after_predecessor_exit(self, predecessor: Partner) -> None:
-        await predecessor.gone.wait()
+        await predecessor.ended.wait()
         self.predecessor = self.front.send_to_other_process = None
         self.front.set_connection_limit(self.max_connections())
         self.log("notice", "handover", "the predecessor has gone")
@@ -327,7 +327,7 @@
         for switch in self.sip_switches:
             switch.dial_timeout_s = fresh.dial_timeout_s
         if self.iax2_front and fresh.iax2:
-            self.iax2_front.set_numbers(fresh.iax2.numbers)
+            self.iax2_front.set_number_routes(fresh.iax2.numbers)
         self.channel.change_address(fresh.channel)
         if self.records:
             self.records.reopen()
@@ -354,7 +354,7 @@
             self.front.close_connections()
             # Standing calls continue until they end, the successor exits, or this process is killed.
             waits = [
-                asyncio.ensure_future(wait) for wait in (gatekeeper.all_calls_ended(), successor.gone.wait())
+                asyncio.ensure_future(wait) for wait in (gatekeeper.all_calls_ended(), successor.ended.wait())
             ]
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
             await gatekeeper.finish(0)
--- a/tansyspur/cli/plan.py
+++ b/tansyspur/cli/plan.py
@@ -156,7 +156,7 @@
                 "scale": result.scale if result else None,
                 "service": result.service if result else None,
                 "first": [
-                    {"kind": bottleneck.kind, "name": bottleneck.name, "strain": bottleneck.refused_share}
+                    {"kind": bottleneck.resource, "name": bottleneck.name, "strain": bottleneck.refused_share}
                     for bottleneck in result.first
                 ]
                 if result
@@ -170,7 +170,8 @@
     )
     for bottleneck in result.first:
         click.echo(
-            f"  {bottleneck.kind:10} {bottleneck.name:30} refuses or holds back {100 * bottleneck.refused_share:.1f}%"
+            f"  {bottleneck.resource:10} {bottleneck.name:30} refuses or holds back "
+            f"{100 * bottleneck.refused_share:.1f}%"
         )
 
 
--- a/tansyspur/cli/rig.py
+++ b/tansyspur/cli/rig.py
@@ -36,7 +36,7 @@
         fleet_run = FleetRun(fleet, load, scale, seed, seconds, folder, show_progress)
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(signal_number, fleet_run.stop.set)
+            loop.add_signal_handler(signal_number, fleet_run.stop_requested.set)
         return await fleet_run.run()
 
     try:
--- a/tansyspur/config.py
+++ b/tansyspur/config.py
@@ -348,7 +348,7 @@
     return Iax2Config(
         listen=parse_host_port(table.get("listen"), "iax2.listen"),
         username=typed_value(table, "username", str, name, "iax2."),
-        numbers=tuple(number_row(row, prefix, settings) for prefix, row in table_rows(table, "number")),
+        numbers=tuple(number_route(row, prefix, settings) for prefix, row in table_rows(table, "number")),
         peers=peers,
         switches=switches,
         registrations=registrations,
@@ -388,7 +388,7 @@
     )
 
 
-def number_row(row: Mapping[str, Any], prefix: str, settings: interface.Settings) -> NumberRoute:
+def number_route(row: Mapping[str, Any], prefix: str, settings: interface.Settings) -> NumberRoute:
     check_known_keys(row, prefix, "prefix", "exchange", "class", "deadline_ms")
     classes = {call_class.name: call_class for call_class in settings.classes}
     class_name = typed_value(row, "class", str, settings.classes[0].name, prefix)
--- a/tansyspur/core/lease.py
+++ b/tansyspur/core/lease.py
@@ -87,9 +87,9 @@
         for other in self._processes():
             if other is not process and other.successor_at is None:
                 other.successor_at, other.successor = now, process
-        for other in list(self._connections.values()):
-            if other.process is not process and other.opened_at <= now - LATE_READ_S:
-                self._merge(other.process, process)
+        for older in list(self._connections.values()):
+            if older.process is not process and older.opened_at <= now - LATE_READ_S:
+                self._merge(older.process, process)
 
     def disconnected(self, link: Hashable, silent: bool) -> None:
         """The connection has ended. silent: it was given up, so that the switch may still take it for open."""
--- a/tansyspur/core/ports.py
+++ b/tansyspur/core/ports.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetUpRequest:
-    """One attempt, as a carrier switch is asked for it."""
+    """One attempt: the set-up that a carrier switch is requested to send."""
 
     offer: Offer
     attempt: int  # number of the attempt, from 0
--- a/tansyspur/iax2/front.py
+++ b/tansyspur/iax2/front.py
@@ -76,11 +76,11 @@
             rng,
             log,
         )
-        self.set_numbers(numbers)
+        self.set_number_routes(numbers)
         self.max_calls, self.allow_guests = max_calls, allow_guests
         self.calls: set[Caller] = set()
 
-    def set_numbers(self, numbers: tuple[NumberRoute, ...]) -> None:
+    def set_number_routes(self, numbers: tuple[NumberRoute, ...]) -> None:
         """Replace the routes of called numbers. Of several that match, the one with the longest prefix is used."""
         self.routes = sorted(numbers, key=lambda route: -len(route.prefix))
 
--- a/tansyspur/net/handover.py
+++ b/tansyspur/net/handover.py
@@ -76,7 +76,7 @@
 
 
 class Partner:
-    """The connection to the other process, predecessor or successor; gone is set when it ends.
+    """The connection to the other process, predecessor or successor; ended is set when it ends.
 
     on_message gets each message of the other process as a dictionary with the key "type".
     """
@@ -89,7 +89,7 @@
     ) -> None:
         self.reader, self.writer, self.on_message = reader, writer, on_message
         self.serving = False  # whether the other process has reported that it serves
-        self.gone = asyncio.Event()
+        self.ended = asyncio.Event()
 
     def send(self, message_type: str, **members: Any) -> None:
         """Send a message, unless the connection is closing."""
@@ -105,7 +105,7 @@
                     self.serving = self.serving or row["type"] == "serving"
                     self.on_message(row)
         finally:
-            self.gone.set()
+            self.ended.set()
             self.writer.close()
 
 
--- a/tansyspur/net/jsonlines.py
+++ b/tansyspur/net/jsonlines.py
@@ -155,14 +155,16 @@
 
 
 class JsonLinesFront:
-    """Accepts callers on a listening socket, at most max_links connections, and offers their calls to the gatekeeper.
+    """Accepts up to max_connections callers on a listening socket, and offers their calls to the gatekeeper.
 
     Where two processes share the address during a hand-over, messages for calls of the other process are passed to it.
     """
 
-    def __init__(self, gatekeeper: Gatekeeper, log: Log, max_links: int, listening: socket.socket) -> None:
+    def __init__(
+        self, gatekeeper: Gatekeeper, log: Log, max_connections: int, listening: socket.socket
+    ) -> None:
         gatekeeper.pause_listeners.append(self.on_pause)
-        self.gatekeeper, self.log, self.max_links = gatekeeper, log, max_links
+        self.gatekeeper, self.log, self.max_connections = gatekeeper, log, max_connections
         self.listening = listening
         # Sends a message to the other process, where two share the address.
         self.send_to_other_process: Callable[..., None] | None = None
@@ -205,10 +207,10 @@
             self.server.close()
             self.server = None
 
-    def set_connection_limit(self, max_links: int) -> None:
-        """Allow at most max_links connections, and close the least useful ones in excess."""
-        self.max_links = max_links
-        while len(self.links) > max_links and self._close_least_useful_link():
+    def set_connection_limit(self, max_connections: int) -> None:
+        """Allow at most max_connections connections, and close the least useful ones in excess."""
+        self.max_connections = max_connections
+        while len(self.links) > max_connections and self._close_least_useful_link():
             pass
 
     # Diverting callers
@@ -373,7 +375,7 @@
                 self._note_delivery(Delivery.DELIVERED_LATE, wire_id, link, now - release.created_at)
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.links) >= self.max_links and not self._close_least_useful_link():
+        if len(self.links) >= self.max_connections and not self._close_least_useful_link():
             self.log("warning", "front", "connection limit reached; closing a new connection")
             writer.transport.abort()
             return
--- a/tansyspur/planner/fleet.py
+++ b/tansyspur/planner/fleet.py
@@ -77,9 +77,9 @@
 
     switches: tuple[StoreSwitch, ...]
     groups: tuple[Group, ...]
-    same_s: float = 0.005  # between switches of one depot
-    cross_s: float = 0.016  # between depots that `between_s` does not list
-    between_s: Mapping[frozenset[str], float] = field(default_factory=dict)  # by pair of depots
+    same_depot_delay_s: float = 0.005  # between switches of one depot
+    cross_depot_delay_s: float = 0.016  # between depots that `depot_delays_s` does not list
+    depot_delays_s: Mapping[frozenset[str], float] = field(default_factory=dict)  # by pair of depots
     work: Work = Work()
     rules: Rules = Rules()
 
@@ -96,8 +96,8 @@
     def delay_s(self, a: StoreSwitch, b: StoreSwitch) -> float:
         """One-way transmission delay between two switches."""
         if a.depot == b.depot:
-            return self.same_s
-        return self.between_s.get(frozenset((a.depot, b.depot)), self.cross_s)
+            return self.same_depot_delay_s
+        return self.depot_delays_s.get(frozenset((a.depot, b.depot)), self.cross_depot_delay_s)
 
     def without(self, depots: Iterable[str] = (), switches: Iterable[str] = ()) -> "Fleet":
         """A copy without these depots and switches, and without the trunk groups that end at them.
@@ -186,7 +186,7 @@
             for rate, length in zip(stream.calls_per_s, self.windows_s, strict=True)
         )
 
-    def class_named(self, name: str) -> CallClass:
+    def class_by_name(self, name: str) -> CallClass:
         """The class of that name. Raises StopIteration if there is none."""
         return next(call_class for call_class in self.classes if call_class.name == name)
 
--- a/tansyspur/planner/forecast.py
+++ b/tansyspur/planner/forecast.py
@@ -225,7 +225,7 @@
         names = network.fleet.names
         lost = _calls_of_missing_switches(full_load, set(names))
         offered = float((worth * self.calls).sum()) + sum(
-            full_load.class_named(name).worth * calls for name, calls in lost.items()
+            full_load.class_by_name(name).worth * calls for name, calls in lost.items()
         )
         earned = float((worth * self.earned).sum())
         service = earned / offered if offered else 1.0
--- a/tansyspur/planner/questions.py
+++ b/tansyspur/planner/questions.py
@@ -19,7 +19,7 @@
 class Bottleneck:
     """A resource that refuses or delays calls."""
 
-    kind: str  # "group", "processor" or "depot"
+    resource: str  # "group", "processor" or "depot"
     name: str
     refused_share: float  # share of its calls that it refuses or holds back
 
@@ -219,7 +219,8 @@
             if attempt.service > best.service:
                 first = bottlenecks(result)[:1]
                 obstacle = (
-                    f"{first[0].kind} {first[0].name} refuses or holds back {first[0].refused_share:.0%} of its calls"
+                    f"{first[0].resource} {first[0].name} refuses or holds back "
+                    f"{first[0].refused_share:.0%} of its calls"
                     if first
                     else "calls time out"
                 )
--- a/tansyspur/rig/fleetrun.py
+++ b/tansyspur/rig/fleetrun.py
@@ -25,7 +25,7 @@
 from hdrh.histogram import HdrHistogram
 
 from tansyspur.planner.fleet import Fleet, Load
-from tansyspur.rig.plant import FleetModel, holding_time, poisson_times
+from tansyspur.rig.fleet_model import FleetModel, holding_time, poisson_times
 from tansyspur.rig.results import (
     FORMAT,
     CallResult,
@@ -45,7 +45,7 @@
     format_sip,
 )
 
-S = 1_000_000_000  # nanoseconds in a second
+NS_PER_S = 1_000_000_000  # nanoseconds in a second
 READY_TIMEOUT_S = 30.0
 RULE_TOLERANCE_S = 0.05  # added to the time limits of the rules, for transport on sockets
 EXIT_TIMEOUT_S = 20.0  # after SIGTERM standing calls are awaited up to the longest deadline; later: SIGKILL
@@ -75,25 +75,26 @@
         "ordinal": number,
         "classes": [
             {
-                "name": call_class.name, "value": call_class.worth, "objective-ns": int(call_class.objective_s * S),
-                "deadline-ns": int(call_class.deadline_s * S), "late-worth": call_class.late_worth,
-                "effect": "idempotent", "dedup-scope": "all", "window-ns": 5 * S, "stream": True,
+                "name": call_class.name, "value": call_class.worth,
+                "objective-ns": int(call_class.objective_s * NS_PER_S),
+                "deadline-ns": int(call_class.deadline_s * NS_PER_S), "late-worth": call_class.late_worth,
+                "effect": "idempotent", "dedup-scope": "all", "window-ns": 5 * NS_PER_S, "stream": True,
             }
             for call_class in load.classes
         ],
         "family-info": {
-            "shape": "mesh", "here": number, "release-ns": int(rules.release_delay_s * S), "resend-ns": 0,
-            "class-hold-ns": [int(call_class.holding_time_s * S) for call_class in load.classes],
+            "shape": "mesh", "here": number, "release-ns": int(rules.release_delay_s * NS_PER_S), "resend-ns": 0,
+            "class-hold-ns": [int(call_class.holding_time_s * NS_PER_S) for call_class in load.classes],
             "channels-needed": [call_class.width for call_class in load.classes], "advice": False, "says-wait": False,
         },
         "limits": {
             "max-attempts": rules.max_attempts, "peers": rules.fill_reports, "cancel": True, "probes": False,
-            "retry-after": rules.retry_after_s > 0, "max-retry-after-ns": int(rules.retry_after_s * S),
-            "dial-timeout-ns": S // 2, "conn-idle-ns": 600 * S,
+            "retry-after": rules.retry_after_s > 0, "max-retry-after-ns": int(rules.retry_after_s * NS_PER_S),
+            "dial-timeout-ns": NS_PER_S // 2, "conn-idle-ns": 600 * NS_PER_S,
         },
         "guarantees": {
-            "cold-share": rules.cold_share, "ramp-time-ns": int(rules.ramp_s * S),
-            "overload-factor": rules.overload_factor, "fall-ns": int(rules.fall_s * S),
+            "cold-share": rules.cold_share, "ramp-time-ns": int(rules.ramp_s * NS_PER_S),
+            "overload-factor": rules.overload_factor, "fall-ns": int(rules.fall_s * NS_PER_S),
         },
     }  # fmt: skip
 
@@ -191,7 +192,7 @@
         self.failure: BaseException | None = None
         self.interrupted = False
         self.ended_s = 0.0
-        self.stop = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         for group in self.model.groups.values():
             group.on_change = self._group_changed
 
@@ -219,7 +220,7 @@
             return
         if self.failure is None:
             self.failure = error or RuntimeError(context["message"])
-        self.stop.set()
+        self.stop_requested.set()
 
     # Start and stop
 
@@ -324,7 +325,7 @@
                 if at_s < self.seconds:
                     holding_time_s = holding_time(
                         self.load.holding_distribution,
-                        self.load.class_named(stream.class_name).holding_time_s,
+                        self.load.class_by_name(stream.class_name).holding_time_s,
                         rng,
                     )
                     number = f"{rng.getrandbits(64):016x}"
@@ -348,14 +349,14 @@
         # Every call is decided within the longest deadline after the last first try.
         tail_s = max(call_class.deadline_s for call_class in self.load.classes)
         try:
-            while self.now() < self.seconds + tail_s and not self.stop.is_set():
+            while self.now() < self.seconds + tail_s and not self.stop_requested.is_set():
                 if self.now() >= self.seconds and all(call.decided for call in self.calls):
                     break
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(0.2):
-                        await self.stop.wait()
+                        await self.stop_requested.wait()
         finally:
-            self.interrupted = self.stop.is_set()
+            self.interrupted = self.stop_requested.is_set()
             self.ended_s = self.now()
             progress.cancel()
             for name, process in self.processes.items():
@@ -447,7 +448,7 @@
     # Callers
 
     def _dial(self, call: OfferedCall) -> None:
-        call_class = self.load.class_named(call.class_name)
+        call_class = self.load.class_by_name(call.class_name)
         # A redial waits no longer than the rest of its class's deadline.
         remaining_s = min(
             call_class.deadline_s * self.load.redial.patience_share,
@@ -469,7 +470,7 @@
         ] or self.connections[gatekeeper]
         connection = connections[next(self.attempt_keys) % len(connections)]
         offer = Offer(wire_id, gatekeeper, call, connection, transit_of, self.now())
-        call_class = self.load.class_named(call.class_name)
+        call_class = self.load.class_by_name(call.class_name)
         via = self.model.numbers[transit_of.sender] if transit_of else -1
         extras = f"dest:{self.model.numbers[call.destination]};width:{call_class.width};via:{via}"
         fields = {"class": call.class_name, "left": str(int(remaining_s * 1000)), "key": call.dedup_key}
@@ -505,7 +506,7 @@
 
     def _redial(self, call: OfferedCall, retry_after_s: float) -> None:
         redial = self.load.redial
-        call_class = self.load.class_named(call.class_name)
+        call_class = self.load.class_by_name(call.class_name)
         wait_s = max(redial.wait_s, retry_after_s if call.redial_rng.random() < redial.heed_share else 0.0)
         if call.tries > redial.max_redials or self.now() + wait_s >= call.first_try_s + call_class.deadline_s:
             call.decided = True
@@ -566,7 +567,7 @@
             self._forget(offer)
             if offer.timer:
                 offer.timer.cancel()
-            if self.stop.is_set():
+            if self.stop_requested.is_set():
                 continue
             if self.now() - offer.offered_s < RULE_TOLERANCE_S and not offer.resent:
                 # A set-up that crossed the close of its connection is sent again, once.
@@ -634,7 +635,7 @@
         attempt = Attempt(offer, sender, receiver, connection, key=f"{next(self.attempt_keys)}")
         offer.attempt = attempt
         offer.call.attempts += 1
-        call_class = self.load.class_named(offer.call.class_name)
+        call_class = self.load.class_by_name(offer.call.class_name)
         group = self.model.group(sender, receiver)
         if group is None or not group.seize(attempt.key, call_class.width, now):
             return self._refuse_attempt(attempt, 480, "all_trunks_busy")
--- a/tansyspur/rig/results.py
+++ b/tansyspur/rig/results.py
@@ -71,7 +71,7 @@
 
 def earned_share(call: CallResult, load: Load) -> float:
     """Return the share of its class's worth that a call earned, by the time from its first try to its answer."""
-    call_class = load.class_named(call.class_name)
+    call_class = load.class_by_name(call.class_name)
     if call.stood_s < 0 or call.cut:
         return 0.0
     setup_delay_s = call.stood_s - call.first_s
@@ -88,7 +88,7 @@
     """Return the worth that the calls earned over the worth offered: 0 to 1, and 1 if no call was offered."""
     offered = earned = 0.0
     for call in calls:
-        class_worth = load.class_named(call.class_name).worth
+        class_worth = load.class_by_name(call.class_name).worth
         offered += class_worth
         earned += class_worth * earned_share(call, load)
     return earned / offered if offered else 1.0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,14 +20,24 @@
     known_red.write_summary(terminalreporter.write_line, terminalreporter.stats)
 
 
-S = 1_000_000_000
-MS = 1_000_000
+NS_PER_S = 1_000_000_000
+NS_PER_MS = 1_000_000
 OWN = 1
 CHECK = interface.CallClass(
-    "check", worth=1.0, objective_ns=2 * S, deadline_ns=9 * S, late_worth=0.25, holding_time_ns=10 * S
+    "check",
+    worth=1.0,
+    objective_ns=2 * NS_PER_S,
+    deadline_ns=9 * NS_PER_S,
+    late_worth=0.25,
+    holding_time_ns=10 * NS_PER_S,
 )
 URGENT = interface.CallClass(
-    "urgent", worth=8.0, objective_ns=S, deadline_ns=6 * S, late_worth=0.25, holding_time_ns=5 * S
+    "urgent",
+    worth=8.0,
+    objective_ns=NS_PER_S,
+    deadline_ns=6 * NS_PER_S,
+    late_worth=0.25,
+    holding_time_ns=5 * NS_PER_S,
 )
 
 
@@ -36,15 +46,15 @@
         "classes": (CHECK, URGENT),
         "own_exchange": OWN,
         "gatekeepers": 4,
-        "release_delay_ns": 300 * MS,
+        "release_delay_ns": 300 * NS_PER_MS,
         "cold_share": 0.3,
-        "ramp_ns": 13 * S,
+        "ramp_ns": 13 * NS_PER_S,
         "overload_factor": 4.0,
-        "fall_ns": 1500 * MS,
+        "fall_ns": 1500 * NS_PER_MS,
         "max_attempts": 4,
         "may_message": True,
         "may_cancel": True,
-        "max_retry_after_ns": 2 * S,
+        "max_retry_after_ns": 2 * NS_PER_S,
     }
     return interface.Settings(**{**values, **changes})
 
@@ -54,7 +64,7 @@
 
     def __init__(self, **changes) -> None:
         self.controller = Controller(settings(**changes), seed=5)
-        self.now = 10 * S  # nanoseconds
+        self.now = 10 * NS_PER_S  # nanoseconds
 
     def switch_list(
         self,
@@ -71,15 +81,15 @@
         return self.handle(interface.GroupReport(100 + number, interface.Outcome.ENDED, 0, report))
 
     def offer(self, call_id, destination, **extra):
-        values = {"class_name": "check", "expires_ns": self.now + 3 * S, **extra}
+        values = {"class_name": "check", "expires_ns": self.now + 3 * NS_PER_S, **extra}
         return self.handle(interface.CallOffered(call_id, destination=destination, **values))
 
-    def attempt_ended(self, call_id, number, outcome, attempt=0, elapsed_ns=50 * MS, **extra):
+    def attempt_ended(self, call_id, number, outcome, attempt=0, elapsed_ns=50 * NS_PER_MS, **extra):
         return self.handle(
             interface.AttemptEnded(call_id, attempt, 100 + number, outcome, elapsed_ns, **extra)
         )
 
-    def answered(self, call_id, number, elapsed_ns=50 * MS, attempt=0):
+    def answered(self, call_id, number, elapsed_ns=50 * NS_PER_MS, attempt=0):
         return self.handle(interface.CallAnswered(call_id, attempt, 100 + number, elapsed_ns))
 
     def handle(self, event):
--- a/tests/iax2_peer.py
+++ b/tests/iax2_peer.py
@@ -11,7 +11,7 @@
 import struct
 import zlib
 
-from tests.world import LONG
+from tests.world import WAIT_TIMEOUT_S
 
 NEW, PING, PONG, ACK, HANGUP, REJECT, ACCEPT, AUTHREQ, AUTHREP, INVAL = range(1, 11)
 REGREQ, REGAUTH, REGACK, REGREJ, VNAK, POKE = 0x0D, 0x0E, 0x0F, 0x10, 0x12, 0x1E
@@ -130,7 +130,7 @@
 
     async def next(self, *wanted):
         """Wait for the next frame with one of these (type, subclass) pairs; skip others."""
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 event = await self.events.get()
                 if event[:2] in wanted:
--- a/tests/standing_trial.py
+++ b/tests/standing_trial.py
@@ -48,7 +48,7 @@
 
 
 class HeldCalls:
-    """Replaces `Switch.out`: a call that a release or a cancel removes is recorded as ended at that time."""
+    """Replaces `Switch.open_calls`: a call that a release or a cancel removes is recorded as ended at that time."""
 
     def __init__(self, switch: "TrialSwitch") -> None:
         self.switch = switch
@@ -78,17 +78,17 @@
         super().__init__(name, number, free=500)
         self.rng, self.record = rng, record
         self.ends: dict[str, asyncio.TimerHandle] = {}
-        self.out = HeldCalls(self)
-        self.with_refusal = "X-Any: 1"
+        self.open_calls = HeldCalls(self)
+        self.refusal_header = "X-Any: 1"
 
     def notify(self, writer, free=None) -> None:
         super().notify(writer, free)
-        pending, self.untold = self.untold, {}
+        pending, self.pending_releases = self.pending_releases, {}
         for call_id, cause in pending.items():
             self.bye(call_id, cause, writer)
 
-    def act(self, action, call_id, writer=None) -> None:
-        super().act(action, call_id, writer)
+    def handle_setup(self, action, call_id, writer=None) -> None:
+        super().handle_setup(action, call_id, writer)
         self.release(call_id)
         self.record.ended_at.pop((self.name, call_id), None)
         hold_s = 0.2 + self.rng.expovariate(1 / HOLD_S)
@@ -107,7 +107,7 @@
     def end(self, call_id: str) -> None:
         del self.ends[call_id]
         self.record_end(call_id)
-        self.untold[call_id] = 16
+        self.pending_releases[call_id] = 16
         origin = self.origin[call_id]
         writers = [origin, *self.writers]
         writer = next((candidate for candidate in writers if not candidate.is_closing()), None)
@@ -118,7 +118,7 @@
         """End all calls and reset all connections, as the loss of the process does; its successor has no calls."""
         for call_id in list(self.ends):
             self.release(call_id)
-        self.untold = {}
+        self.pending_releases = {}
         for writer in self.writers:
             writer.transport.abort()
         self.writers = []
@@ -181,7 +181,7 @@
     async def offer_calls(self, callers) -> None:
         until = self.loop.time() + self.seconds
         while self.loop.time() < until:
-            self.rng.choice(callers).set_up(self.rng.choice((1, 2, 3)), left=2000)
+            self.rng.choice(callers).set_up(self.rng.choice((1, 2, 3)), remaining_ms=2000)
             await asyncio.sleep(self.rng.expovariate(CALLS_PER_S))
 
     async def listen(self, caller) -> None:
@@ -205,7 +205,7 @@
         call = self.record.calls[call_id]
         if call.released_at is None:
             call.hung_up = True
-            caller.say("release", call_id, cause=16)
+            caller.send("release", call_id, cause=16)
 
     # Faults
 
--- a/tests/test_cdr.py
+++ b/tests/test_cdr.py
@@ -19,7 +19,7 @@
     parse_line,
     parse_record,
 )
-from tests.test_program import program
+from tests.test_program import async_test
 from tests.world import Switch, World
 
 TEXT = st.text(max_size=30).map(lambda text: "".join(mark if mark.isprintable() else "?" for mark in text))
@@ -54,7 +54,7 @@
         parse_record(parse_line(text))
 
 
-@program
+@async_test
 async def test_the_program_records_every_call_and_sighup_reopens_the_file(tmp_path):
     path = tmp_path / "calls.log"
     switch = Switch("s-1", 1, plan=["answer", "503 cpu_full", "answer"])
@@ -73,10 +73,10 @@
             await asyncio.sleep(0.05)
         os.rename(path, rotated)
         world.reload()
-        await world.logged("configuration read")
+        await world.wait_for_log("configuration read")
         third = caller.set_up(1)
         await caller.next(third, "answer")
-        caller.say("release", third, cause=16)
+        caller.send("release", third, cause=16)
         await caller.next(third, "release")
     lines = [parse_line(line) for file in (rotated, path) for line in file.read_text().splitlines()]
     numbered_records = [parse_record(line) for line in lines if parse_record(line)]
@@ -89,7 +89,7 @@
     assert parse_count(lines[-1]) == (4, 0)
 
 
-@program
+@async_test
 async def test_a_full_queue_and_a_full_disk_drop_records_and_count_them(tmp_path, monkeypatch):
     logged = []
     cdr_file = export.CdrFile(
--- a/tests/test_iax2.py
+++ b/tests/test_iax2.py
@@ -17,9 +17,9 @@
 from tansyspur.iax2 import frames
 from tests import iax2_peer as iax
 from tests.iax2_peer import Iax2Peer
-from tests.test_program import program
-from tests.test_silent_switch import QUIET_S, TOLD_S, releases
-from tests.world import LONG, ROOT, Switch, World, free_port
+from tests.test_program import async_test
+from tests.test_silent_switch import OBSERVATION_S, REPORT_LIMIT_S, collect_releases
+from tests.world import ROOT, WAIT_TIMEOUT_S, Switch, World, free_port
 
 SECRET = "hush-4711"
 ANSWERED = (iax.CONTROL, iax.ANSWER)
@@ -94,7 +94,7 @@
         return self.caller_peer.call(self.iax2, number, **options)
 
 
-@program
+@async_test
 async def test_a_call_from_iax2_to_sip_is_answered_and_released():
     switch = Switch("s-1", 1)
     async with Iax2World(switch) as world:
@@ -116,7 +116,7 @@
     "plan, code",
     [("503 via_said_no", 34), ("503 cpu_full", 42), ("486 number_busy", 34), ("500", 34), ("silent", 34)],
 )
-@program
+@async_test
 async def test_refusals_and_the_deadline_reach_an_iax2_caller_as_causes(plan, code):
     switch = Switch("s-1", 1, plan=[plan])
     async with Iax2World(switch, deadline=1500) as world:
@@ -131,22 +131,22 @@
 
 
 @pytest.mark.parametrize("plan, cause", [("34", 34), ("42", 42), ("17", 34), ("38", 34), ("silent", 34)])
-@program
+@async_test
 async def test_a_json_caller_gets_the_cause_of_an_iax2_switch(plan, cause):
     remote_switch = Iax2Peer(plan=[plan], secret=SECRET)
     async with Iax2World(Switch("s-1", 1), remote_switch=remote_switch) as world:
         caller = await world.caller()
-        call = caller.set_up(1, left=1500)
+        call = caller.set_up(1, remaining_ms=1500)
         answer = await caller.next(call)
         assert answer["type"] == "release" and answer["cause"] == cause
-        assert await caller.silent()
+        assert await caller.no_message_within()
         assert world.switches[0].count("INVITE") == 0
         if plan == "silent":
             outgoing_call = await remote_switch.incoming.get()
             await outgoing_call.next((iax.IAX, iax.HANGUP))
 
 
-@program
+@async_test
 async def test_a_call_from_json_to_iax2_answers_the_challenge_and_either_side_can_release_it():
     remote_switch = Iax2Peer(secret=SECRET)
     async with Iax2World(Switch("s-1", 1), remote_switch=remote_switch) as world:
@@ -158,7 +158,7 @@
         calls = {elements[iax.CALLED_NUMBER]: call for _, call, elements in remote_switch.new_calls}
         calls[b"2177"].hang_up(41)
         assert (await caller.next(first, "release"))["cause"] == 41
-        caller.say("release", second, cause=16)
+        caller.send("release", second, cause=16)
         other = next(call for number, call in calls.items() if number != b"2177")
         await other.next((iax.IAX, iax.HANGUP))
         assert len(remote_switch.new_calls) == 2
@@ -172,15 +172,15 @@
         ("nobody", "x", (iax.IAX, iax.REJECT)),
     ],
 )
-@program
+@async_test
 async def test_callers_are_authenticated_and_no_secret_is_logged(user, secret, finals):
     async with Iax2World(Switch("s-1", 1)) as world:
         call = world.call(user=user, secret=secret)
         assert (await call.next_final())[:2] == finals
-    assert SECRET not in "\n".join(world.lines)
+    assert SECRET not in "\n".join(world.log_lines)
 
 
-@program
+@async_test
 async def test_unknown_numbers_and_formats_are_rejected_before_any_attempt():
     switch = Switch("s-1", 1)
     async with Iax2World(switch) as world:
@@ -191,7 +191,7 @@
         assert switch.count("INVITE") == 0
 
 
-@program
+@async_test
 async def test_a_registration_is_accepted_and_one_with_a_wrong_secret_is_refused():
     async with Iax2World(Switch("s-1", 1)) as world:
         right = world.caller_peer.register(world.iax2, "shed", SECRET)
@@ -200,21 +200,21 @@
         assert (await wrong.next((iax.IAX, iax.REGACK), (iax.IAX, iax.REGREJ)))[1] == iax.REGREJ
 
 
-@program
+@async_test
 async def test_the_gatekeeper_renews_its_own_registration_and_pokes_its_switch():
     remote_switch = Iax2Peer(secret=SECRET)
     extra_lines = 'username = "core"\n[[iax2.register]]\npeer = "far"\n'
     async with Iax2World(
         Switch("s-1", 1), remote_switch=remote_switch, extra_lines=extra_lines, switch="qualify_s = 0.2"
     ) as world:
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             for _ in range(2):  # the renewal comes before the granted second has passed
                 assert await remote_switch.registrations.get() == (b"core", True)
         caller = await world.caller()
         await caller.next(caller.set_up(1), "answer")  # the pokes were answered
 
 
-@program
+@async_test
 async def test_a_retransmitted_new_starts_no_second_call_even_after_its_end():
     # A datagram can arrive twice. Without a check in the transport, the copy would start a second attempt.
     switch = Switch("s-1", 1)
@@ -253,14 +253,14 @@
 
 
 @pytest.mark.parametrize("bad", BAD_DATAGRAMS, ids=range(len(BAD_DATAGRAMS)))
-@program
+@async_test
 async def test_malformed_datagrams_do_not_disturb_calls(bad):
     async with Iax2World(Switch("s-1", 1)) as world:
         world.caller_peer.transport.sendto(bad, world.iax2)
         assert (await world.call().next_final())[:2] == ANSWERED
 
 
-@program
+@async_test
 async def test_frames_without_a_call_and_unknown_subclasses_are_answered_as_in_the_rfc():
     async with Iax2World(Switch("s-1", 1)) as world:
         caller_peer = world.caller_peer
@@ -276,7 +276,7 @@
         await call.next((iax.IAX, iax.PONG))
 
 
-@program
+@async_test
 async def test_media_is_forwarded_between_two_iax2_legs():
     remote_switch = Iax2Peer(secret=SECRET)
     async with Iax2World(Switch("s-1", 1), remote_switch=remote_switch) as world:
@@ -291,7 +291,7 @@
         assert await call.media.get() == b"back"
 
 
-@program
+@async_test
 async def test_no_set_up_goes_to_an_iax2_switch_that_drains():
     remote_switch, switch = Iax2Peer(secret=SECRET), Switch("s-1", 1)
     async with Iax2World(switch, remote_switch=remote_switch) as world:
@@ -303,7 +303,7 @@
         assert len(remote_switch.new_calls) == 1
 
 
-@program
+@async_test
 async def test_calls_on_an_iax2_switch_that_stops_responding_are_released_in_time_and_no_others():
     # Related to the incident of 2026-12-02: with one PING in 20 s the loss was detected after up to 27 s.
     remote_switch = Iax2Peer(secret=SECRET)
@@ -312,9 +312,9 @@
         calls = [caller.set_up(1) for _ in range(2)]
         for call in calls:
             await caller.next(call, "answer")
-        assert await releases(caller, QUIET_S) == {}
+        assert await collect_releases(caller, OBSERVATION_S) == {}
         remote_switch.vanished = True
-        assert set(await releases(caller, TOLD_S)) == set(calls)
+        assert set(await collect_releases(caller, REPORT_LIMIT_S)) == set(calls)
 
 
 CIRCUITS, WAVES = 10, 3
@@ -323,7 +323,7 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.3], ids=["clean", "lossy"])
 @pytest.mark.parametrize("route", ["iax2 to sip", "json to iax2", "iax2 to iax2"])
-@program
+@async_test
 async def test_the_guarantees_hold_at_120_percent_of_the_circuits(route, loss):
     """Each call gets one final answer and has one attempt at a time, 200 ms after one given up; all are released."""
     caller_protocol, switch_protocol = route.split(" to ")
@@ -349,21 +349,23 @@
                     call.hang_up()
                 assert all(len(call.final_frames) == 1 for call in calls)
             else:
-                calls = [caller.set_up(1, left=9000, key=key) for key in keys]
+                calls = [caller.set_up(1, remaining_ms=9000, key=key) for key in keys]
                 messages = [await caller.next() for _ in calls]
                 assert sorted(message["id"] for message in messages) == sorted(calls)
                 answered_calls = [message["id"] for message in messages if message["type"] == "answer"]
                 for call in answered_calls:
-                    caller.say("release", call, cause=16)
+                    caller.send("release", call, cause=16)
                     assert (await caller.next(call, "release"))["cause"] == 16
             assert len(answered_calls) <= CIRCUITS
             total_answered += len(answered_calls)
             # The wave has ended when the remote side holds no call of it any more.
-            async with asyncio.timeout(LONG):
-                while switch.out or any(call.ended_at is None for _, call, _ in remote_switch.new_calls):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
+                while switch.open_calls or any(
+                    call.ended_at is None for _, call, _ in remote_switch.new_calls
+                ):
                     await asyncio.sleep(0.05)
         assert 0 < total_answered < OFFERED * WAVES
-        assert caller_protocol == "iax2" or await caller.silent()
+        assert caller_protocol == "iax2" or await caller.no_message_within()
         last_calls: dict = {}
         for started_at, call, elements in remote_switch.new_calls:
             previous = last_calls.get(elements[iax.CALLED_NUMBER])
@@ -408,7 +410,7 @@
             config.iax2_config(tomllib.loads(changed), "n0", settings, secrets)
 
 
-@program
+@async_test
 async def test_iax2_callers_are_rejected_while_paused_and_accepted_after_resume():
     switch = Switch("s-1", 1)
     async with Iax2World(switch) as world:
@@ -419,37 +421,37 @@
         assert subclass == iax.REJECT and elements[iax.CAUSECODE][0] == 42
         poke = iax.full_frame(77, 0, 1, 0, 0, iax.IAX, iax.POKE)
         world.caller_peer.send_datagram(poke, world.iax2)
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             assert (await world.caller_peer.unassigned_frames.get())[:2] == (iax.IAX, iax.INVAL)
         assert len(standing.final_frames) == 1 and switch.count("INVITE") == 1
         assert (await world.console("RESUME")).startswith("+OK")
         world.caller_peer.send_datagram(poke, world.iax2)
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await world.caller_peer.unassigned_frames.get())[:2] != (iax.IAX, iax.PONG):
                 pass
         assert (await world.call().next_final())[:2] == ANSWERED
 
 
-@program
+@async_test
 async def test_a_new_process_binds_the_iax2_address_once_the_old_one_has_ended():
     # The old process holds the address until it ends. The new one must wait for that, not end as it cannot bind.
     switch = Switch("s-1", 1)
     async with Iax2World(switch) as world:
         standing = world.call("2105")
         assert (await standing.next_final())[:2] == ANSWERED
-        old = await world.replace()
+        old = await world.start_successor()
         old.send_signal(signal.SIGTERM)
         _, call_id, _, _ = await switch.next("INVITE")
         switch.bye(call_id)
         assert (await standing.next_final())[
             1
         ] == iax.HANGUP  # the call continued until the switch released it
-        await world.logged("the predecessor has gone")
-        await world.logged(rf"tansyspur {world.process.pid} start .*listening for IAX2")
+        await world.wait_for_log("the predecessor has gone")
+        await world.wait_for_log(rf"tansyspur {world.process.pid} start .*listening for IAX2")
         assert (await world.call().next_final())[:2] == ANSWERED
 
 
-@program
+@async_test
 async def test_new_settings_apply_to_iax2_callers():
     switch = Switch("s-2", 2)
     async with Iax2World(switch) as world:
@@ -458,18 +460,18 @@
         changed = copy.deepcopy(world.settings)
         changed["classes"][1]["deadline-ns"] = 2_000_000_000
         world.reload(settings=changed)
-        await world.logged("configuration read")
+        await world.wait_for_log("configuration read")
         await world.call("22").next(ANSWERED)
         assert int((await switch.next("INVITE"))[2]["x-setup-ms"]) <= 2000
 
 
-@program
+@async_test
 async def test_metrics_count_iax2_calls_of_either_side():
     remote_switch = Iax2Peer(plan=["answer", "42"], secret=SECRET)
     async with Iax2World(Switch("s-1", 1), remote_switch=remote_switch) as world:
         assert (await world.call("2105").next_final())[:2] == ANSWERED
         caller = await world.caller()
-        assert (await caller.next(caller.set_up(1, left=1500)))["type"] == "release"
+        assert (await caller.next(caller.set_up(1, remaining_ms=1500)))["type"] == "release"
         lines = (await world.console("METRICS")).split("\n")
         for metric in ("success.lookup:1|c", "busy.lookup:1|c", "backend_calls:2|c", "inflight:1|g"):
             assert f"gatekeeper.{metric}" in lines
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -14,16 +14,16 @@
 
 import pytest
 
-from tests.test_program import program
-from tests.world import LONG, S, Switch, World, settings
+from tests.test_program import async_test
+from tests.world import NS_PER_S, WAIT_TIMEOUT_S, Switch, World, settings
 
 
 async def wait_for_exit(process):
-    async with asyncio.timeout(LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         return await process.wait()
 
 
-@program
+@async_test
 async def test_the_next_process_takes_over_and_no_call_is_lost():
     # Callers, switches and peers must see one gatekeeper, without a gap between the two processes.
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent", "answer"])
@@ -32,70 +32,72 @@
         released, hung_up = caller.set_up(1), caller.set_up(1)
         for call in (released, hung_up):
             await caller.next(call, "answer")
-        open_call = waiting.set_up(2, left=9000)
+        open_call = waiting.set_up(2, remaining_ms=9000)
         await slow.next("INVITE", open_call)
         old_console = world.console_port
-        old = await world.replace()
+        old = await world.start_successor()
         assert (await world.console("STATUS", old_console)).startswith("+OK")  # both serve until SIGTERM
         old.send_signal(signal.SIGTERM)
         # A new caller is served by the new process, even if the old one still has open calls.
-        assert await caller.silent(LONG)  # closed, as no set-up is open on it
+        assert await caller.no_message_within(WAIT_TIMEOUT_S)  # closed, as no set-up is open on it
         newcomer = await world.caller()
         assert (await newcomer.next(newcomer.set_up(1)))["type"] == "answer"
         assert (await world.console("STATUS", old_console)).startswith("-ERR ending")
         # The open set-up is answered on its own connection, which is closed after that.
-        slow.act("answer", open_call)
-        assert (await waiting.next(open_call))["type"] == "answer" and await waiting.silent(LONG)
+        slow.handle_setup("answer", open_call)
+        assert (await waiting.next(open_call))["type"] == "answer" and await waiting.no_message_within(
+            WAIT_TIMEOUT_S
+        )
         # Releases of the old process's calls pass between the two processes.
         switch.bye(released)
         assert (await newcomer.next(released))["type"] == "release"
-        newcomer.say("release", hung_up, cause=16)
+        newcomer.send("release", hung_up, cause=16)
         assert (await newcomer.next(hung_up))["type"] == "released"
         await switch.next("BYE", hung_up)
         assert old.returncode is None  # one call is still standing, and is not cut
         slow.bye(open_call)
         assert (await newcomer.next(open_call))["type"] == "release"
         assert await wait_for_exit(old) == 0
-        await world.logged("the predecessor has gone")
+        await world.wait_for_log("the predecessor has gone")
         # The process that took over can be replaced as well.
-        old = await world.replace()
+        old = await world.start_successor()
         old.send_signal(signal.SIGTERM)
-        assert await newcomer.silent(LONG)
+        assert await newcomer.no_message_within(WAIT_TIMEOUT_S)
         last = await world.caller()
         assert (await last.next(last.set_up(1)))["type"] == "answer"
 
 
-@program
+@async_test
 async def test_connections_are_closed_after_the_time_for_answers_even_if_a_call_stands():
     # Without this, set-ups would reach the old process on a connection that is never idle, and be lost at its exit.
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     changed = settings()
     for call_class in changed["classes"]:
-        call_class["deadline-ns"] = 2 * S
+        call_class["deadline-ns"] = 2 * NS_PER_S
     async with World(switch, slow, classes=changed["classes"]) as world:
         caller, busy = await world.caller(), await world.caller()
-        standing = caller.set_up(1, left=1500)
+        standing = caller.set_up(1, remaining_ms=1500)
         await caller.next(standing, "answer")
-        old = await world.replace()
-        open_call = busy.set_up(2, left=2000)
+        old = await world.start_successor()
+        open_call = busy.set_up(2, remaining_ms=2000)
         await slow.next("INVITE", open_call)
         old.send_signal(signal.SIGTERM)
         answers = asyncio.create_task(busy.reader.read())
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not answers.done():  # as soon as one is answered, another is open
-                busy.set_up(2, left=2000)
+                busy.set_up(2, remaining_ms=2000)
                 await asyncio.sleep(0.005)
         assert open_call in {json.loads(line)["id"] for line in answers.result().splitlines()}
         assert old.returncode is None  # it runs on for the standing call
         newcomer = await world.caller()
-        assert (await newcomer.next(newcomer.set_up(1, left=1500)))["type"] == "answer"
+        assert (await newcomer.next(newcomer.set_up(1, remaining_ms=1500)))["type"] == "answer"
 
 
-@program
+@async_test
 async def test_the_serving_process_exchanges_messages_with_peers():
     async with World(Switch("s-1", 1)) as world:
         loop, readings = asyncio.get_running_loop(), []
-        old = await world.replace()
+        old = await world.start_successor()
         old.send_signal(signal.SIGTERM)
         await wait_for_exit(old)
         while True:  # discard what the old process had sent
@@ -103,35 +105,35 @@
                 world.peer.recv(512)
             except BlockingIOError:
                 break
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             readings.append(await loop.sock_recv(world.peer, 512))
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         stranger.sendto(b"?", ("127.0.0.1", world.peer_port))
-        await world.logged(rf"tansyspur {world.process.pid} peers .*unknown sender")
+        await world.wait_for_log(rf"tansyspur {world.process.pid} peers .*unknown sender")
         stranger.close()
         assert readings
 
 
-@program
+@async_test
 async def test_if_the_next_process_dies_the_old_one_serves_again():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         old_console = world.console_port
-        old = await world.replace()
+        old = await world.start_successor()
         world.process.kill()
         await wait_for_exit(world.process)
-        await world.logged("the successor has gone")
+        await world.wait_for_log("the successor has gone")
         world.process, world.console_port = old, old_console
         caller = await world.caller()
         assert (await caller.next(caller.set_up(1)))["type"] == "answer"
-        next_old = await world.replace()  # the old process can still be replaced
+        next_old = await world.start_successor()  # the old process can still be replaced
         next_old.send_signal(signal.SIGTERM)
         caller = await world.caller()
         assert (await caller.next(caller.set_up(1)))["type"] == "answer"
 
 
 @pytest.mark.parametrize("stale", ["dead", "file", "mute"])
-@program
+@async_test
 async def test_a_stale_or_unresponsive_hand_over_socket_does_not_prevent_a_start(stale):
     # "mute": a predecessor that hangs. Its socket in $TMPDIR accepts the connection and sends nothing.
     switch = Switch("s-1", 1)
@@ -146,8 +148,8 @@
             leftover.bind(str(socket_path))
         if stale == "mute":
             leftover.listen()
-        old = await world.replace()
-        await world.logged("no predecessor answers")
+        old = await world.start_successor()
+        await world.wait_for_log("no predecessor answers")
         old.kill()
         await wait_for_exit(old)
         leftover.close()
@@ -155,7 +157,7 @@
         assert (await caller.next(caller.set_up(1)))["type"] == "answer"
 
 
-@program
+@async_test
 async def test_a_pause_sheds_callers_and_a_resume_accepts_them_again():
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     async with World(switch, slow) as world:
@@ -164,24 +166,24 @@
         await idle.next(done, "answer")
         await leaver.next(standing, "answer")
         leaver.close()  # its call keeps standing without a connection
-        idle.say("release", done, cause=16)
-        open_call, long_call = busy.set_up(2, left=9000), never_idle.set_up(2, left=9000)
+        idle.send("release", done, cause=16)
+        open_call, long_call = busy.set_up(2, remaining_ms=9000), never_idle.set_up(2, remaining_ms=9000)
         for _ in range(2):
             await slow.next("INVITE")
         for _ in range(2):  # a second time changes nothing
             assert await world.console("PAUSE") == "+OK paused\n"
         assert (await world.console("STATUS")).startswith("-ERR paused")
         readiness_check = await world.caller()
-        readiness_check.say("ping", "00000000000000f0", cause=0)
+        readiness_check.send("ping", "00000000000000f0", cause=0)
         assert (await readiness_check.next())["cause"] == 0
         # Open set-ups are still served, and so are those that arrive before their connection is closed.
         late = busy.set_up(1)
         assert (await busy.next(late))["type"] == "answer"
         assert [(await idle.next(done))["type"] for _ in range(2)] == ["released", "release"]
-        assert await idle.silent(LONG)
+        assert await idle.no_message_within(WAIT_TIMEOUT_S)
         switch.bye(late)  # all calls of the busy connection are ended below
         assert (await busy.next(late))["type"] == "release"
-        slow.act("answer", open_call)
+        slow.handle_setup("answer", open_call)
         assert (await busy.next(open_call))["type"] == "answer"
         slow.bye(open_call)
         assert (await busy.next(open_call))["type"] == "release"
@@ -189,23 +191,25 @@
         rest = [json.loads(row) for row in (await busy.reader.read()).splitlines()]
         assert {(row["type"], row["id"]) for row in rest} <= {("release", done)}
         # A connection that always has an open set-up is closed as well, and its set-ups are released.
-        assert (await never_idle.next(long_call))["type"] == "release" and await never_idle.silent(LONG)
+        assert (await never_idle.next(long_call))["type"] == "release" and await never_idle.no_message_within(
+            WAIT_TIMEOUT_S
+        )
         # The release of a call stays pending until callers come back. It must not be sent to the platform's
         # readiness check: if that gets anything but a pong it has failed, and no caller would ever come.
         switch.bye(standing)
         await asyncio.sleep(0.2)
         assert (await world.console("RESUME")).startswith("+OK serving")
         readiness_check = await world.caller()
-        readiness_check.say("ping", "00000000000000f1", cause=0)
+        readiness_check.send("ping", "00000000000000f1", cause=0)
         pong = await readiness_check.next()
         assert (pong["type"], pong["cause"]) == ("pong", 1)
         back = await world.caller()
         call = back.set_up(1)
         assert (await back.next(standing))["type"] == "release"
-        assert (await back.next(call))["type"] == "answer" and await back.silent(0.8)
+        assert (await back.next(call))["type"] == "answer" and await back.no_message_within(0.8)
 
 
-@program
+@async_test
 async def test_during_a_pause_a_connection_stays_for_its_standing_calls_and_takes_no_new_ones():
     # Required by the operators for drains. Without this, releases could not be delivered during a long pause.
     switch = Switch("s-1", 1)
@@ -223,10 +227,10 @@
         for call in (first, second):
             switch.bye(call)
             assert (await caller.next(call))["type"] == "release"
-        assert await caller.silent(LONG) and switch.count("INVITE") == 2
+        assert await caller.no_message_within(WAIT_TIMEOUT_S) and switch.count("INVITE") == 2
 
 
-@program
+@async_test
 async def test_during_a_pause_the_last_connection_of_callers_is_kept_for_releases():
     # If all connections were closed at once, releases would be delivered seconds late.
     switch = Switch("s-1", 1)
@@ -238,7 +242,7 @@
         await asyncio.sleep(1.0)  # idle connections are closed from half a second on
         switch.bye(call)
         assert (await caller.next(call))["type"] == "release"
-        assert await caller.silent(LONG)  # closed, as no call stands any more
+        assert await caller.no_message_within(WAIT_TIMEOUT_S)  # closed, as no call stands any more
 
 
 def without(*path):
@@ -278,7 +282,7 @@
 ]  # fmt: skip
 
 
-@program
+@async_test
 async def test_a_file_with_a_missing_or_unusable_part_is_rejected_completely():
     # If a part of such a file were applied, its channel address would be too, and the real channel would be lost.
     switch = Switch("s-1", 1)
@@ -290,20 +294,20 @@
             texts.append(json.dumps(document))
         for count, text in enumerate(texts, 1):
             world.reload(text)
-            await world.logged("the old configuration stays", count)
+            await world.wait_for_log("the old configuration stays", count)
         caller = await world.caller()
         assert (await caller.next(caller.set_up(1)))["type"] == "answer"
-        assert not [line for line in world.lines if "configuration read" in line]
+        assert not [line for line in world.log_lines if "configuration read" in line]
         world.reload()
-        await world.logged("configuration read")
+        await world.wait_for_log("configuration read")
         later = await world.add(Switch("s-2", 2))
         world.channel.event(later.entry())
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await caller.next(caller.set_up(2)))["type"] != "answer":
                 await asyncio.sleep(0.05)
 
 
-@program
+@async_test
 async def test_new_settings_apply_at_once_and_an_open_call_keeps_its_class():
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     failing = Switch("s-3", 3, plan=["500"])
@@ -313,25 +317,30 @@
         assert (await caller.next(caller.set_up(3)))["type"] == "release"
         attempts = failing.count("INVITE")
         assert attempts > 1
-        open_call = caller.set_up(2, left=9000)
+        open_call = caller.set_up(2, remaining_ms=9000)
         await slow.next("INVITE", open_call)
         changed = copy.deepcopy(world.settings)
-        survey = {**changed["classes"][1], "name": "survey", "deadline-ns": 2 * S, "effect": "at_most_once"}
+        survey = {
+            **changed["classes"][1],
+            "name": "survey",
+            "deadline-ns": 2 * NS_PER_S,
+            "effect": "at_most_once",
+        }
         changed["classes"] = [changed["classes"][1], survey]
         changed["limits"]["max-attempts"] = 1
         world.reload(settings=changed)
-        await world.logged("configuration read")
-        call = caller.set_up(1, left=1500, **{"class": "survey"})
+        await world.wait_for_log("configuration read")
+        call = caller.set_up(1, remaining_ms=1500, **{"class": "survey"})
         assert (await caller.next(call))["type"] == "answer"
         assert (await switch.next("INVITE", call))[2]["x-service"] == "survey"
-        assert (await caller.next(caller.set_up(1, left=2500, **{"class": "survey"})))["cause"] == 100
+        assert (await caller.next(caller.set_up(1, remaining_ms=2500, **{"class": "survey"})))["cause"] == 100
         # A set-up of a former class is still served for a moment, with the new limit of attempts.
         crossing = caller.set_up(3)
         assert (await caller.next(crossing))["cause"] != 100
         assert failing.count("INVITE") <= attempts + 1
         await asyncio.sleep(1.1)
         assert (await caller.next(caller.set_up(1)))["cause"] == 100  # its class is no longer configured
-        slow.act("answer", open_call)
+        slow.handle_setup("answer", open_call)
         assert (await caller.next(open_call))["type"] == "answer"
 
 
@@ -343,7 +352,7 @@
     return {row[1]: int(row[2]) for row in rows}
 
 
-@program
+@async_test
 async def test_each_event_is_counted_once_and_unknown_classes_create_no_metrics():
     switch, slow = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     failing, gone = Switch("s-3", 3, plan=["504"]), Switch("s-4", 4)
@@ -357,7 +366,7 @@
             await caller.next(call, "answer")
         switch.bye(ended)
         await caller.next(ended, "release")
-        refused = caller.set_up(3, left=1500, **{"class": "fix"})
+        refused = caller.set_up(3, remaining_ms=1500, **{"class": "fix"})
         assert (await caller.next(refused))["cause"] in (34, 42)
         for fields in ({"left": "0"}, {"left": "x"}, {"class": "made up"}):
             assert (await caller.next(caller.set_up(1, **fields)))["cause"] == 100
@@ -365,19 +374,19 @@
         for call in [other.set_up(2), other.set_up(2)]:
             await slow.next("INVITE", call)
         other.writer.write(b"?\n")
-        await world.logged("connection dropped: a line that is not JSON")
+        await world.wait_for_log("connection dropped: a line that is not JSON")
         await slow.next("INVITE", third.set_up(2))
         third.close()
-        waiting = caller.set_up(2, left=9000)
+        waiting = caller.set_up(2, remaining_ms=9000)
         await slow.next("INVITE", waiting)
         world.channel.event(gone.entry("draining"))
         world.reload("")
-        await world.logged("the old configuration stays")
+        await world.wait_for_log("the old configuration stays")
         changed = copy.deepcopy(world.settings)
         changed["classes"][0]["name"] = "survey"
         world.reload(settings=changed)
-        await world.logged("configuration read")
-        async with asyncio.timeout(LONG):
+        await world.wait_for_log("configuration read")
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (now := await read_metrics(world))["inflight"] != 2 or not now["hosts_down"]:
                 await asyncio.sleep(0.05)
         sent = sum(carrier.count("INVITE") for carrier in world.switches)
@@ -387,12 +396,12 @@
             "hosts_listed": 5, "hosts_down": 1, "reconfig_ok": 1, "reconfig_failed": 1,
         }  # fmt: skip
         assert "success.survey" in now and not [name for name in now if "made" in name]
-        slow.act("answer", waiting)
+        slow.handle_setup("answer", waiting)
         assert (await caller.next(waiting))["type"] == "answer"  # counted under its former class
         assert (await read_metrics(world))["success.lookup"] == 3
 
 
-@program
+@async_test
 async def test_an_attempt_is_counted_when_its_last_byte_has_been_sent():
     # A set-up that is dropped from the buffer of a stalled connection must not be counted.
     switch = Switch("s-1", 1)
@@ -400,7 +409,7 @@
         caller = await world.caller()
         for writer in switch.writers:
             writer.transport.pause_reading()
-        call = caller.set_up(1, left=600, sdp="x" * 15_000)  # no time for a second attempt
+        call = caller.set_up(1, remaining_ms=600, sdp="x" * 15_000)  # no time for a second attempt
         assert (await caller.next(call))["type"] == "release"
         assert (await read_metrics(world))["backend_calls"] == 0
         for writer in switch.writers:
@@ -417,7 +426,7 @@
     ],
     ids=range(8),
 )  # fmt: skip
-@program
+@async_test
 async def test_the_console_answers_one_line_despite_many_other_connections(request_line, start):
     # Silent connections to the console and a crowd at the callers' port must not keep the staff from an answer.
     async with World(Switch("s-1", 1), limits={"memory_mb": 192, "sockets": 200}) as world:
@@ -427,7 +436,7 @@
         writer.write(request_line)
         if not request_line.endswith(b"\n"):
             writer.write_eof()
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             answer = (await reader.read()).decode()
         assert answer.startswith(start) and answer.count("\n") == 1
         assert (await world.console("STATUS")).startswith("+OK")
@@ -439,7 +448,7 @@
             stream.close()
 
 
-@program
+@async_test
 async def test_without_a_successor_an_ending_process_refuses_new_connections():
     # If the listening socket stayed open, new connections would wait in its queue and never be accepted.
     switch = Switch("s-1", 1)
@@ -449,7 +458,7 @@
         await caller.next(call, "answer")
         world.process.send_signal(signal.SIGTERM)
         with pytest.raises(ConnectionRefusedError):
-            async with asyncio.timeout(LONG):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while True:
                     (await world.caller()).close()
                     await asyncio.sleep(0.05)
@@ -459,27 +468,27 @@
 
 
 @pytest.mark.parametrize("deadline_s", [0.4, 1, 3, 9])
-@program
+@async_test
 async def test_without_a_successor_all_calls_are_released_before_the_earliest_kill(deadline_s):
     # Callers continue to send on open connections until the kill, and the switch hangs during the shutdown.
     switch, hung = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     classes = copy.deepcopy(settings()["classes"])
     for call_class in classes:
-        call_class["deadline-ns"] = call_class["objective-ns"] = int(deadline_s * S)
+        call_class["deadline-ns"] = call_class["objective-ns"] = int(deadline_s * NS_PER_S)
     left = int(deadline_s * 900)
     async with World(switch, hung, classes=classes) as world:
         caller, crowd = await world.caller(), await world.caller()
-        calls = [caller.set_up(1, left=left) for _ in range(3)]
+        calls = [caller.set_up(1, remaining_ms=left) for _ in range(3)]
         for call in calls:
             await caller.next(call, "answer")
-        switch.mute = [*switch.writers]
+        switch.muted_writers = [*switch.writers]
         loop, sent = asyncio.get_running_loop(), []
         kill_at = loop.time() + min(3, deadline_s) + 0.7
         world.process.send_signal(signal.SIGTERM)
         received = asyncio.create_task(caller.reader.read())
         answers = asyncio.create_task(crowd.reader.read())
         while loop.time() < kill_at and not answers.done():
-            sent.append((crowd.set_up(2, left=left), loop.time()))
+            sent.append((crowd.set_up(2, remaining_ms=left), loop.time()))
             await asyncio.sleep(0.01)
         closed_at = loop.time()
         async with asyncio.timeout_at(kill_at + 0.3):  # margin for a busy machine; no SIGKILL is sent
@@ -492,7 +501,7 @@
         assert {call for call, at in sent if at < closed_at - 0.05} <= set(answered)
 
 
-@program
+@async_test
 async def test_without_a_successor_a_release_whose_connection_has_ended_is_sent_on_another():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
@@ -505,10 +514,10 @@
         leaver.close()
         world.process.send_signal(signal.SIGTERM)
         assert (await idle.next(standing))["type"] == "release"
-        assert await idle.silent(LONG)
+        assert await idle.no_message_within(WAIT_TIMEOUT_S)
 
 
-@program
+@async_test
 async def test_a_pause_ends_with_its_process_and_an_ending_process_takes_no_commands():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
@@ -516,16 +525,18 @@
         call = caller.set_up(1)
         await caller.next(call, "answer")
         await world.console("PAUSE")
-        old = await world.replace()
+        old = await world.start_successor()
         newcomer = await world.caller()
         assert (await newcomer.next(newcomer.set_up(1)))["type"] == "answer"
         old.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not (await world.console("STATUS", old_console)).startswith("-ERR ending"):
                 await asyncio.sleep(0.05)
         for command in ("PAUSE", "RESUME"):
             assert (await world.console(command, old_console)).startswith("-ERR")
-        assert await caller.silent(LONG)  # the pause had kept its connection; the shutdown closes it
+        assert await caller.no_message_within(
+            WAIT_TIMEOUT_S
+        )  # the pause had kept its connection; the shutdown closes it
         switch.bye(call)
         assert (await newcomer.next(call))["type"] == "release"
         assert (await world.console("STATUS")).startswith("+OK")
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,7 +12,7 @@
 
 from tansyspur import interface
 from tansyspur.policy import Controller
-from tests.conftest import MS, Driver, S, actions_of_type, settings, timer_tokens
+from tests.conftest import NS_PER_MS, NS_PER_S, Driver, actions_of_type, settings, timer_tokens
 
 HEAD = ">BII"  # format, the sender's exchange number, the first exchange number of the rows
 POLICY = Path(__file__).parent.parent / "tansyspur" / "policy.py"
@@ -98,15 +98,17 @@
     driver = Driver()
     assert timer_tokens(driver.switch_list(1, 2, 3, 4)) == [0]
     driver.group_report(2, 12)  # half of it is free beyond the reserve
-    [first] = actions_of_type(driver.advance(S, [0]), interface.SendMessage)
+    [first] = actions_of_type(driver.advance(NS_PER_S, [0]), interface.SendMessage)
     assert first.peer is None and first.data == fill_report(1, 2, 125, 254, 254)
-    without_readers = driver.advance(5 * S, [0])
+    without_readers = driver.advance(5 * NS_PER_S, [0])
     assert actions_of_type(without_readers, interface.SendMessage) == []
-    assert actions_of_type(without_readers, interface.SetTimer)[0].at_ns == driver.now + 2 * S
+    assert actions_of_type(without_readers, interface.SetTimer)[0].at_ns == driver.now + 2 * NS_PER_S
     driver.handle(interface.PeerMessage(2, fill_report(3, 2, 254)))
     driver.offer(1, 2, in_transit=True, via=3)
-    assert [action.peer for action in actions_of_type(driver.advance(S, [0]), interface.SendMessage)] == [2]
-    assert actions_of_type(driver.advance(61 * S, [0]), interface.SendMessage) == []
+    assert [
+        action.peer for action in actions_of_type(driver.advance(NS_PER_S, [0]), interface.SendMessage)
+    ] == [2]
+    assert actions_of_type(driver.advance(61 * NS_PER_S, [0]), interface.SendMessage) == []
 
 
 def test_no_reports_where_messages_are_not_allowed():
@@ -147,7 +149,9 @@
     driver = Driver()
     driver.switch_list(*range(1, 500))
     driver.offer(1, 2, in_transit=True, via=3)
-    reports = [actions_of_type(driver.advance(5 * S, [0]), interface.SendMessage)[0].data for _ in range(3)]
+    reports = [
+        actions_of_type(driver.advance(5 * NS_PER_S, [0]), interface.SendMessage)[0].data for _ in range(3)
+    ]
     assert [struct.unpack_from(HEAD, data)[2] for data in reports] == [2, 242, 482]
     assert all(len(data) <= 256 for data in reports)
 
@@ -156,7 +160,7 @@
     """A group that does not exist counted as empty, so that its tandem was chosen most; seen as networks grew."""
     driver.group_report(2, 0, size=0)
     driver.handle(interface.PeerMessage(1, fill_report(3, 2, 255)))
-    driver.now += 60 * S
+    driver.now += 60 * NS_PER_S
     assert {switch_id for call_id in range(9) for switch_id in setups(driver.offer(call_id, 2))} == {104}
 
 
@@ -167,7 +171,7 @@
     assert 0.7 < second_leg_fill(4, 2) < 0.81
     driver.handle(interface.PeerMessage(1, fill_report(3, 2, 0)))
     assert second_leg_fill(3, 2) == 0
-    driver.now += 60 * S
+    driver.now += 60 * NS_PER_S
     driver.group_report(4, 0)
     assert 0.7 < second_leg_fill(3, 2) < 0.8
 
@@ -181,11 +185,11 @@
         for number in range(2, size + 1):
             driver.group_report(number, 0)
         for call_id in range(100):
-            driver.now += 100 * MS
+            driver.now += 100 * NS_PER_MS
             driver.answered(call_id, 2)
         [timer] = actions_of_type(driver.advance(0, [0]), interface.SetTimer)
         gaps.append(timer.at_ns - driver.now)
-    assert gaps[0] <= S and 5 * S < gaps[1] < 7 * S
+    assert gaps[0] <= NS_PER_S and 5 * NS_PER_S < gaps[1] < 7 * NS_PER_S
 
 
 # Settings and unusual events
@@ -218,7 +222,7 @@
 
 
 def test_an_at_most_once_call_that_may_have_run_is_not_refused():
-    once = interface.CallClass("once", 1.0, S, 2 * S, effect=interface.Effect.AT_MOST_ONCE)
+    once = interface.CallClass("once", 1.0, NS_PER_S, 2 * NS_PER_S, effect=interface.Effect.AT_MOST_ONCE)
     driver = Driver(classes=(once,))
     driver.switch_list(2, 3)
     driver.offer(1, 2, class_name="once")
@@ -226,7 +230,7 @@
 
 
 def test_shape_pools_chooses_a_tandem_among_the_pools_of_the_class():
-    pooled = interface.CallClass("check", 1.0, S, 2 * S, pools=(2, 3))
+    pooled = interface.CallClass("check", 1.0, NS_PER_S, 2 * NS_PER_S, pools=(2, 3))
     driver = Driver(shape="pools", own_exchange=None, classes=(pooled,), may_message=False)
     driver.switch_list(2, 3, 4)
     for number, free in ((2, 0), (3, 9), (4, 9)):
@@ -249,16 +253,16 @@
 def test_a_slow_switch_gets_no_more_calls(driver):
     """Processors filled with set-ups that waited past their objectives (incidents iab94d5, idf4f5d, i994166)."""
     driver.offer(1, 2)
-    driver.answered(1, 2, elapsed_ns=3 * S)
+    driver.answered(1, 2, elapsed_ns=3 * NS_PER_S)
     assert setups(driver.offer(2, 2)) == []
-    driver.now += 10 * S
+    driver.now += 10 * NS_PER_S
     assert setups(driver.offer(3, 2)) == [102]
 
 
 def test_an_unanswered_set_up_raises_the_expected_delay(driver):
     """A hung processor answers nothing, so that only the age of the oldest set-up sent to it shows the fault."""
     driver.offer(1, 2)
-    driver.now += 2 * S
+    driver.now += 2 * NS_PER_S
     assert setups(driver.offer(2, 2)) == []
 
 
@@ -287,7 +291,7 @@
         driver.group_report(number, 0)
     driver.offer(1, 2)
     driver.offer(2, 2, class_name="urgent")
-    driver.now += 100 * MS
+    driver.now += 100 * NS_PER_MS
     driver.offer(3, 2)
     order = [
         action.call_id
@@ -301,7 +305,7 @@
     """A call offered a few ticks before its expiry was queued past it."""
     for number in (2, 3, 4):
         driver.group_report(number, 0)
-    assert refusals(driver.offer(1, 2, expires_ns=driver.now + 30 * MS)) == [1]
+    assert refusals(driver.offer(1, 2, expires_ns=driver.now + 30 * NS_PER_MS)) == [1]
 
 
 def test_no_tandem_is_chosen_when_all_routes_are_full(driver):
@@ -319,14 +323,14 @@
     driver.switch_list(1, 2, 3, 4)
     driver.group_report(2, 2)
     driver.offer(1, 2, in_transit=True, via=3)
-    [message] = actions_of_type(driver.advance(S, [0]), interface.SendMessage)
+    [message] = actions_of_type(driver.advance(NS_PER_S, [0]), interface.SendMessage)
     assert message.data == fill_report(1, 2, 250, 254, 254)
 
 
 def test_a_late_call_waits_for_an_idle_switch(driver):
     """Calls past their objective took the capacity that new calls needed in time (incident idd45c8)."""
     driver.offer(1, 2)
-    driver.now += 100 * MS
+    driver.now += 100 * NS_PER_MS
     assert setups(driver.offer(2, 2, redial=True)) == []
     assert setups(driver.offer(3, 2)) == [102]
 
@@ -335,13 +339,13 @@
     """Unmarked redials were taken for new calls and displaced them (incident iaf7d91)."""
     for number in (2, 3, 4):
         driver.group_report(number, 0)
-    driver.offer(1, 2, called_number="07", expires_ns=driver.now + 30 * MS)  # refused at once
-    driver.now += 1500 * MS
+    driver.offer(1, 2, called_number="07", expires_ns=driver.now + 30 * NS_PER_MS)  # refused at once
+    driver.now += 1500 * NS_PER_MS
     driver.offer(2, 2, called_number="08")
     driver.offer(3, 2, called_number="07")
     assert driver.controller.refused_numbers == {}
     # Two seconds from its first try, not from its second.
-    assert refusals(driver.advance(480 * MS, [2])) == [3]
+    assert refusals(driver.advance(480 * NS_PER_MS, [2])) == [3]
 
 
 def test_a_call_past_its_objective_is_refused_at_once(driver):
@@ -349,8 +353,8 @@
     for number in (2, 3, 4):
         driver.group_report(number, 0)
     assert refusals(driver.offer(1, 2)) == [] and refusals(driver.offer(2, 2, redial=True)) == [2]
-    assert refusals(driver.advance(1900 * MS, [2])) == []
-    assert refusals(driver.advance(50 * MS, [2])) == [1]
+    assert refusals(driver.advance(1900 * NS_PER_MS, [2])) == []
+    assert refusals(driver.advance(50 * NS_PER_MS, [2])) == [1]
 
 
 def test_a_call_toward_a_switch_that_is_gone_is_refused_at_once(driver):
@@ -359,8 +363,8 @@
     driver.group_report(4, 0)
     driver.offer(1, 2)
     gone = driver.switch_list(2, kind=interface.SwitchListKind.CHANGES, state=interface.SwitchState.GONE)
-    assert actions_of_type(gone, interface.Refuse) == [interface.Refuse(1, 2 * S)]
-    assert actions_of_type(driver.offer(2, 2), interface.Refuse) == [interface.Refuse(2, 2 * S)]
+    assert actions_of_type(gone, interface.Refuse) == [interface.Refuse(1, 2 * NS_PER_S)]
+    assert actions_of_type(driver.offer(2, 2), interface.Refuse) == [interface.Refuse(2, 2 * NS_PER_S)]
 
 
 def test_a_call_out_of_attempts_is_refused_at_once():
@@ -370,7 +374,7 @@
         driver.group_report(number, free, size)
     [tandem] = setups(driver.offer(1, 2))
     driver.attempt_ended(1, tandem - 100, interface.Outcome.NO_ROOM, cause=interface.Cause.TURNED_BACK)
-    [tandem] = setups(driver.advance(50 * MS, [2]))
+    [tandem] = setups(driver.advance(50 * NS_PER_MS, [2]))
     back = driver.attempt_ended(1, tandem - 100, interface.Outcome.NO_ROOM, cause=interface.Cause.TURNED_BACK)
     assert refusals(back) == [1]
 
@@ -379,20 +383,20 @@
     for number in (2, 3, 4):
         driver.group_report(number, 0)
     [answer] = actions_of_type(driver.offer(1, 2, redial=True), interface.Refuse)
-    assert answer.retry_after_ns == 500 * MS  # twenty circuits of ten seconds each
+    assert answer.retry_after_ns == 500 * NS_PER_MS  # twenty circuits of ten seconds each
     driver.group_report(2, 20)
     driver.offer(2, 2)
-    driver.now += S
-    driver.answered(2, 2, elapsed_ns=S)
+    driver.now += NS_PER_S
+    driver.answered(2, 2, elapsed_ns=NS_PER_S)
     [answer] = actions_of_type(driver.offer(3, 2, redial=True), interface.Refuse)
-    assert answer.retry_after_ns == 2 * S  # the maximum: the delay takes longer than that to decay
+    assert answer.retry_after_ns == 2 * NS_PER_S  # the maximum: the delay takes longer than that to decay
 
 
 def test_no_retry_time_where_it_is_not_sent_or_the_call_may_have_run(driver):
     assert actions_of_type(Driver(max_retry_after_ns=0).offer(1, 99), interface.Refuse) == [
         interface.Refuse(1)
     ]
-    driver.offer(1, 2, expires_ns=driver.now + 280 * MS)  # before the release delay
+    driver.offer(1, 2, expires_ns=driver.now + 280 * NS_PER_MS)  # before the release delay
     assert actions_of_type(driver.attempt_ended(1, 2, interface.Outcome.TIMED_OUT), interface.Refuse) == [
         interface.Refuse(1)
     ]
@@ -403,7 +407,7 @@
     driver.group_report(2, 0, size=0)
     [first] = setups(driver.offer(1, 2))
     driver.attempt_ended(1, first - 100, interface.Outcome.NO_ROOM, cause=interface.Cause.TURNED_BACK)
-    [second] = setups(driver.advance(50 * MS, [2]))
+    [second] = setups(driver.advance(50 * NS_PER_MS, [2]))
     assert {first, second} == {103, 104}
 
 
@@ -435,16 +439,16 @@
     """The delay toward each destination alone looked normal, so a slow own processor was overloaded."""
     for call_id in range(6):
         driver.offer(call_id, 2 + call_id % 3)
-    driver.now += 900 * MS
+    driver.now += 900 * NS_PER_MS
     for call_id in range(6):
-        driver.answered(call_id, 2 + call_id % 3, elapsed_ns=900 * MS)
+        driver.answered(call_id, 2 + call_id % 3, elapsed_ns=900 * NS_PER_MS)
     driver.switch_list(5)
     driver.group_report(5, 20)
     # Never observed to be slow, but reached through the own processor.
     assert setups(driver.offer(7, 5)) == []
-    driver.now += 2 * S
+    driver.now += 2 * NS_PER_S
     assert setups(driver.offer(8, 5)) == [105]
-    driver.now += 50 * MS
+    driver.now += 50 * NS_PER_MS
     driver.answered(8, 5)
     assert setups(driver.offer(9, 5)) == [105]  # one quick answer shows that the own processor is not slow
 
@@ -456,7 +460,7 @@
     for number in range(2, 22):
         driver.group_report(number, 20)
     driver.offer(0, 21)
-    driver.now += 50 * MS
+    driver.now += 50 * NS_PER_MS
     driver.answered(0, 21)
     return driver
 
@@ -467,14 +471,14 @@
     driver = twenty_switches()
     sent = 0
     for call_id in range(1, 120):
-        driver.now += 60 * MS
+        driver.now += 60 * NS_PER_MS
         if call_id % 5:
             driver.offer(call_id, 2 + call_id % 16)
         else:
             number = 18 + call_id % 4
             sent += len(setups(driver.offer(call_id, number)))
-            driver.now += 40 * MS
-            driver.answered(call_id, number, elapsed_ns=40 * MS)
+            driver.now += 40 * NS_PER_MS
+            driver.answered(call_id, number, elapsed_ns=40 * NS_PER_MS)
     assert sent == 23
 
 
@@ -483,26 +487,26 @@
     driver = twenty_switches()
     for call_id in range(1, 7):
         assert setups(driver.offer(call_id, 1 + call_id))
-    driver.now += 4 * S
+    driver.now += 4 * NS_PER_S
     for call_id, outcome in enumerate(
         [interface.Outcome.TIMED_OUT, interface.Outcome.CUT, interface.Outcome.NO_ROUTE] * 2, 1
     ):
-        driver.attempt_ended(call_id, 1 + call_id, outcome, elapsed_ns=4 * S, final=True)
+        driver.attempt_ended(call_id, 1 + call_id, outcome, elapsed_ns=4 * NS_PER_S, final=True)
     assert setups(driver.offer(20, 8)) == [108]
 
 
 def test_sending_resumes_after_all_switches_were_silent():
     """A full window of unanswered set-ups let nothing out until they timed out (report L197d18)."""
     driver = twenty_switches()
-    driver.now += S
+    driver.now += NS_PER_S
     counts = [len(setups(driver.offer(call_id, 2 + call_id % 20))) for call_id in range(1, 30)]
     assert sum(counts) == 8  # the first window
-    driver.now += 200 * MS
+    driver.now += 200 * NS_PER_MS
     assert setups(driver.offer(40, 21)) == []
-    driver.now += 400 * MS
+    driver.now += 400 * NS_PER_MS
     assert setups(driver.offer(41, 21)) == [121] and setups(driver.offer(42, 2)) == []
-    driver.now += 40 * MS
-    driver.answered(41, 21, elapsed_ns=40 * MS)  # one answer empties the own window
+    driver.now += 40 * NS_PER_MS
+    driver.answered(41, 21, elapsed_ns=40 * NS_PER_MS)  # one answer empties the own window
     assert setups(driver.offer(43, 2)) == [102]
 
 
@@ -511,45 +515,45 @@
     assert driver.offer(1, 2)[0].timeout_ns == 0
     for call_id in range(2, 5):
         driver.offer(call_id, 3)
-        driver.now += S
-        driver.attempt_ended(call_id, 3, interface.Outcome.TIMED_OUT, elapsed_ns=S, final=True)
-        driver.now += 5 * S
+        driver.now += NS_PER_S
+        driver.attempt_ended(call_id, 3, interface.Outcome.TIMED_OUT, elapsed_ns=NS_PER_S, final=True)
+        driver.now += 5 * NS_PER_S
     [jammed] = actions_of_type(driver.offer(7, 4), interface.SetUp)
     assert jammed.timeout_ns == 0  # nothing else is answered either (incident iaa6b83)
     driver.answered(7, 4)
     [first] = actions_of_type(driver.offer(9, 4), interface.SetUp)
-    assert first.timeout_ns == 850 * MS  # half of what the objective leaves after the release delay
-    driver.now += 850 * MS
-    assert setups(driver.attempt_ended(9, 4, interface.Outcome.TIMED_OUT, elapsed_ns=850 * MS)) == []
-    assert setups(driver.advance(250 * MS, [2])) == []  # rule 5: not before the release delay
-    assert setups(driver.advance(600 * MS, [2])) == [104]
+    assert first.timeout_ns == 850 * NS_PER_MS  # half of what the objective leaves after the release delay
+    driver.now += 850 * NS_PER_MS
+    assert setups(driver.attempt_ended(9, 4, interface.Outcome.TIMED_OUT, elapsed_ns=850 * NS_PER_MS)) == []
+    assert setups(driver.advance(250 * NS_PER_MS, [2])) == []  # rule 5: not before the release delay
+    assert setups(driver.advance(600 * NS_PER_MS, [2])) == [104]
 
 
 def test_slow_answers_that_come_are_waited_for(driver):
     for call_id in range(2, 5):
         driver.offer(call_id, 3)
-        driver.now += S
-        driver.attempt_ended(call_id, 3, interface.Outcome.TIMED_OUT, elapsed_ns=S, final=True)
-        driver.now += 5 * S
+        driver.now += NS_PER_S
+        driver.attempt_ended(call_id, 3, interface.Outcome.TIMED_OUT, elapsed_ns=NS_PER_S, final=True)
+        driver.now += 5 * NS_PER_S
     for call_id in range(5, 9):
         driver.offer(call_id, 3)
-        driver.now += S
-        driver.answered(call_id, 3, elapsed_ns=S)
-        driver.now += 5 * S
+        driver.now += NS_PER_S
+        driver.answered(call_id, 3, elapsed_ns=NS_PER_S)
+        driver.now += 5 * NS_PER_S
     assert actions_of_type(driver.offer(9, 4), interface.SetUp)[0].timeout_ns == 0
 
 
 def test_all_gatekeepers_together_keep_to_the_rate_of_a_cold_switch():
     """Rule 4, a cold switch gets a share of its full rate, at any fleet size: fifty gatekeepers that have answered
     calls already, and cut calls that come again at once."""
-    size, start = 50, 20 * S
+    size, start = 50, 20 * NS_PER_S
     drivers = [Driver(gatekeepers=size) for _ in range(size)]
     times = []
     for seed, driver in enumerate(drivers):
         driver.controller.random.seed(seed)
         driver.switch_list(1, 2, 3)
         for call_id in range(100):  # ten calls a second are answered at each
-            driver.now += 100 * MS
+            driver.now += 100 * NS_PER_MS
             driver.answered(call_id, 3)
         driver.now = start
         driver.switch_list(2, kind=interface.SwitchListKind.CHANGES, started_ns=start)
@@ -558,9 +562,9 @@
             for switch_id in setups(driver.offer(call_id, 2, **origin)):
                 times.append(driver.now)
                 driver.answered(call_id, switch_id - 100)
-            driver.now += 50 * MS
+            driver.now += 50 * NS_PER_MS
     # A switch carries the ten calls a second of its own subscribers, and as many that end there.
-    window, allowed = 1500 * MS, 4.0 * 0.3 * (10 + 10) * 1.5
+    window, allowed = 1500 * NS_PER_MS, 4.0 * 0.3 * (10 + 10) * 1.5
     most_in_window = max(sum(at <= other < at + window for other in times) for at in times)
     assert len(times) > 50 and most_in_window <= allowed
 
@@ -568,69 +572,77 @@
 def test_a_signalling_fault_is_tried_again_at_once(driver):
     # A faulty switch may fail most set-ups at once and take the others; calls to it were given up.
     assert setups(driver.offer(1, 2)) == [102]
-    assert setups(driver.attempt_ended(1, 2, interface.Outcome.FAULT, elapsed_ns=12 * MS)) == [102]
-    busy = driver.attempt_ended(1, 2, interface.Outcome.FAULT, 1, 12 * MS, cause=interface.Cause.NUMBER_BUSY)
+    assert setups(driver.attempt_ended(1, 2, interface.Outcome.FAULT, elapsed_ns=12 * NS_PER_MS)) == [102]
+    busy = driver.attempt_ended(
+        1, 2, interface.Outcome.FAULT, 1, 12 * NS_PER_MS, cause=interface.Cause.NUMBER_BUSY
+    )
     assert len(actions_of_type(busy, interface.Refuse)) == 1
 
 
 def test_a_cut_set_up_is_tried_again_after_its_release(driver):
     # A call whose connection was lost was refused, although it could still be answered in time.
     assert setups(driver.offer(1, 2)) == [102]
-    assert driver.attempt_ended(1, 2, interface.Outcome.CUT) and driver.advance(299 * MS, [2]) != [
+    assert driver.attempt_ended(1, 2, interface.Outcome.CUT) and driver.advance(299 * NS_PER_MS, [2]) != [
         interface.Refuse(1)
     ]
-    assert setups(driver.advance(60 * MS, [2])) == [102]
+    assert setups(driver.advance(60 * NS_PER_MS, [2])) == [102]
 
 
 def test_one_lost_answer_does_not_stop_calls_to_its_switch(driver):
     # A set-up that others had overtaken counted as still queued, though its answer was lost or late.
     assert setups(driver.offer(1, 2)) == [102]
-    driver.now += 10 * MS
+    driver.now += 10 * NS_PER_MS
     assert setups(driver.offer(2, 2)) == [102]
-    driver.now += 30 * MS
-    driver.answered(2, 2, 30 * MS)
-    driver.now += 900 * MS
+    driver.now += 30 * NS_PER_MS
+    driver.answered(2, 2, 30 * NS_PER_MS)
+    driver.now += 900 * NS_PER_MS
     assert setups(driver.offer(3, 2)) == [102]
     driver.answered(3, 2, 0)
-    driver.attempt_ended(1, 2, interface.Outcome.TIMED_OUT, elapsed_ns=940 * MS)
+    driver.attempt_ended(1, 2, interface.Outcome.TIMED_OUT, elapsed_ns=940 * NS_PER_MS)
     assert setups(driver.offer(4, 2)) == [102]
 
 
 def test_a_cut_connection_does_not_stop_calls_to_its_switch(driver):
     # The time until a connection was found dead counted as a set-up delay.
     assert setups(driver.offer(1, 2)) == [102]
-    driver.now += 1800 * MS
-    driver.attempt_ended(1, 2, interface.Outcome.CUT, elapsed_ns=1800 * MS)
+    driver.now += 1800 * NS_PER_MS
+    driver.attempt_ended(1, 2, interface.Outcome.CUT, elapsed_ns=1800 * NS_PER_MS)
     assert setups(driver.offer(2, 2)) == [102]
 
 
 def test_a_slow_answer_decays_sooner_where_objectives_are_short():
     # With a fixed half-life, one slow answer outlasted the objectives of all calls that came after it.
-    quick = tuple(interface.CallClass(name, 1.0, 300 * MS, 3 * S, 0.25, S) for name in ("check", "urgent"))
+    quick = tuple(
+        interface.CallClass(name, 1.0, 300 * NS_PER_MS, 3 * NS_PER_S, 0.25, NS_PER_S)
+        for name in ("check", "urgent")
+    )
     driver = Driver(classes=quick)
     driver.switch_list(1, 2, 3, 4)
     driver.group_report(2, 20)
     assert setups(driver.offer(1, 2)) == [102]
-    driver.now += 900 * MS
-    driver.answered(1, 2, 900 * MS)
+    driver.now += 900 * NS_PER_MS
+    driver.answered(1, 2, 900 * NS_PER_MS)
     assert setups(driver.offer(2, 2)) == []
-    driver.now += 700 * MS
+    driver.now += 700 * NS_PER_MS
     assert setups(driver.offer(3, 2)) == [102]
 
 
 def test_a_late_call_is_sent_to_a_distant_idle_switch():
     # Short objectives made the limit for late calls less than the shortest possible answer time.
-    quick = tuple(interface.CallClass(name, 1.0, 300 * MS, 3 * S, 0.25, S) for name in ("check", "urgent"))
+    quick = tuple(
+        interface.CallClass(name, 1.0, 300 * NS_PER_MS, 3 * NS_PER_S, 0.25, NS_PER_S)
+        for name in ("check", "urgent")
+    )
     driver = Driver(classes=quick)
     driver.switch_list(1, 2, 3, 4)
     driver.group_report(2, 20)
     for call_id in range(1, 100):
         driver.offer(call_id, 2)
-        driver.now += 40 * MS
-        driver.answered(call_id, 2, 40 * MS)
+        driver.now += 40 * NS_PER_MS
+        driver.answered(call_id, 2, 40 * NS_PER_MS)
         driver.group_report(2, 20)
     assert setups(driver.offer(100, 2, redial=True)) == [102]
-    driver.now += 80 * MS
+    driver.now += 80 * NS_PER_MS
     assert setups(driver.offer(101, 2, redial=True)) == []
 
 
@@ -639,11 +651,15 @@
     # Waits for the release delay.
     assert not actions_of_type(driver.attempt_ended(1, 2, interface.Outcome.CUT), interface.SetUp)
     survey = interface.CallClass(
-        "survey", worth=4.0, objective_ns=S, deadline_ns=2 * S, effect=interface.Effect.AT_MOST_ONCE
+        "survey",
+        worth=4.0,
+        objective_ns=NS_PER_S,
+        deadline_ns=2 * NS_PER_S,
+        effect=interface.Effect.AT_MOST_ONCE,
     )
     driver.handle(interface.SettingsChanged(settings(classes=(survey,), max_attempts=1)))
     # No second attempt, though 4 were allowed.
-    (refusal,) = actions_of_type(driver.advance(400 * MS, [2]), interface.Refuse)
+    (refusal,) = actions_of_type(driver.advance(400 * NS_PER_MS, [2]), interface.Refuse)
     assert refusal.call_id == 1  # and of its old class, which may be refused after an attempt
     assert actions_of_type(driver.offer(2, 2, class_name="survey"), interface.SetUp)
     # What may have run must not be repeated.
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,10 +16,10 @@
 
 import pytest
 
-from tests.world import LONG, ROOT, Channel, Switch, World, settings
+from tests.world import ROOT, WAIT_TIMEOUT_S, Channel, Switch, World, settings
 
 
-def program(test):
+def async_test(test):
     """Run an async test function with asyncio.run, so that no pytest plugin is needed."""
 
     @functools.wraps(test)
@@ -29,7 +29,7 @@
     return run
 
 
-@program
+@async_test
 async def test_a_call_is_answered_with_the_switchs_description_and_released_once():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
@@ -44,7 +44,7 @@
         switch.bye(call)
         assert await caller.next(call) == {"type": "release", "id": call, "fields": {}, "cause": 16}
         switch.bye(call)  # a switch sends its release once more on its next connection
-        assert await caller.silent()
+        assert await caller.no_message_within()
 
 
 @pytest.mark.parametrize(
@@ -61,18 +61,18 @@
         (["999"], True),
     ],
 )
-@program
+@async_test
 async def test_each_refusal_gives_one_final_answer_with_a_cause_to_try_again(plan, refused):
     switch = Switch("s-1", 1, plan=plan)
     async with World(switch) as world:
         caller = await world.caller()
-        call = caller.set_up(1, left=2500)
+        call = caller.set_up(1, remaining_ms=2500)
         answer = await caller.next(call)
         assert answer["type"] == "release" and (answer["cause"] in (34, 42, 102)) is refused
-        assert await caller.silent()
+        assert await caller.no_message_within()
 
 
-@program
+@async_test
 async def test_the_answer_to_a_second_attempt_is_matched_though_its_cseq_is_one():
     # Carrier switches always send CSeq 1, so sip.py must not match answers by that number.
     switch = Switch("s-1", 1, plan=["480 all_trunks_busy", "answer"])
@@ -83,33 +83,33 @@
         assert switch.count("INVITE") == 2
 
 
-@program
+@async_test
 async def test_a_full_group_is_not_tried_again_at_once_though_its_report_is_older():
     # The load report sent with a refusal for lack of a circuit may still show a free one. Without a check, the call
     # would spend all its attempts within a moment.
     switch = Switch("s-1", 1, plan=["480 all_trunks_busy", "answer"])
-    switch.with_refusal = "X-Group: free:20;size:20"
+    switch.refusal_header = "X-Group: free:20;size:20"
     async with World(switch) as world:
         caller = await world.caller()
         call = caller.set_up(1)
         assert (await caller.next(call))["type"] == "answer"
-        first, second = (at for at, method, _ in switch.log if method == "INVITE")
+        first, second = (at for at, method, _ in switch.received_log if method == "INVITE")
         assert second - first > 0.03
 
 
 @pytest.mark.parametrize("plan, min_gap_s", [(["reset", "answer"], 0.2), (["500", "500", "answer"], 0)])
-@program
+@async_test
 async def test_a_lost_set_up_is_tried_again_after_the_release_delay(plan, min_gap_s):
     switch = Switch("s-1", 1, plan=plan)
     async with World(switch) as world:
         caller = await world.caller()
         call = caller.set_up(1)
-        assert (await caller.next(call))["type"] == "answer" and await caller.silent()
-        sent = [at for at, method, _ in switch.log if method == "INVITE"]
+        assert (await caller.next(call))["type"] == "answer" and await caller.no_message_within()
+        sent = [at for at, method, _ in switch.received_log if method == "INVITE"]
         assert len(sent) == len(plan) and sent[-1] - sent[-2] >= min_gap_s
 
 
-@program
+@async_test
 async def test_a_blocked_call_uses_a_tandem_and_a_call_in_transit_does_not():
     full, tandem = Switch("s-1", 1, free=0), Switch("s-2", 2)
     async with World(full, tandem) as world:
@@ -121,16 +121,16 @@
         assert full.count("INVITE") == 0 and tandem.count("INVITE") == 1
 
 
-@program
+@async_test
 async def test_an_answer_after_the_caller_gave_up_is_released_at_the_switch():
     switch = Switch("s-1", 1, plan=["silent"])
     async with World(switch) as world:
         caller = await world.caller()
         call = caller.set_up(1)
         await switch.next("INVITE", call)
-        caller.say("release", call, cause=16)
+        caller.send("release", call, cause=16)
         await switch.next("CANCEL", call)
-        switch.act("answer", call)
+        switch.handle_setup("answer", call)
         await switch.next("BYE", call)
         # A caller that closes its connection gives up as well.
         call = caller.set_up(1)
@@ -139,19 +139,19 @@
         await switch.next("CANCEL", call)
 
 
-@program
+@async_test
 async def test_at_the_deadline_the_attempt_is_cancelled_and_the_call_released():
     switch = Switch("s-1", 1, plan=["silent"])
     async with World(switch) as world:
         caller = await world.caller()
-        call = caller.set_up(1, left=700)
+        call = caller.set_up(1, remaining_ms=700)
         answer = await caller.next(call)
         assert answer["type"] == "release"
         await switch.next("CANCEL", call)
-        assert await caller.silent()
+        assert await caller.no_message_within()
 
 
-@program
+@async_test
 async def test_a_standing_call_may_be_released_on_any_connection():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
@@ -159,7 +159,7 @@
         calls = [first.set_up(1) for _ in range(3)]
         for call in calls:
             await first.next(call, "answer")
-        second.say("release", calls[0], cause=31)
+        second.send("release", calls[0], cause=31)
         assert "cause=31" in (await switch.next("BYE", calls[0]))[2]["reason"]
         first.close()
         switch.bye(calls[1], cause=41)
@@ -171,19 +171,19 @@
         assert (await (await world.caller()).next(calls[2]))["type"] == "release"
 
 
-@program
+@async_test
 async def test_a_draining_switch_gets_no_new_calls_and_its_address_may_be_reused():
     old = Switch("s-old", 1, plan=["silent"])
     async with World(old) as world:
         caller = await world.caller()
-        held = caller.set_up(1, left=5000)
+        held = caller.set_up(1, remaining_ms=5000)
         await old.next("INVITE", held)
         world.channel.event(old.entry("draining"))
         await world.channel.resumed.get()
         await asyncio.sleep(0.2)
         assert (await caller.next(caller.set_up(1)))["type"] == "release"
         assert old.count("INVITE") == 1
-        old.act("answer", held)  # an attempt from before the drain continues
+        old.handle_setup("answer", held)  # an attempt from before the drain continues
         assert (await caller.next(held))["type"] == "answer"
         # Switches must not be identified by address: the new one has another name, and the calls of the old have ended.
         old.server.close()
@@ -192,13 +192,13 @@
         new = await world.add(Switch("s-new", 1), old.port)
         world.channel.event(old.entry("removed"), new.entry())
         assert (await caller.next(held))["type"] == "release"
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await caller.next(call := caller.set_up(1)))["type"] != "answer":
                 await asyncio.sleep(0.05)
         await new.next("INVITE", call)
 
 
-@program
+@async_test
 async def test_the_channel_is_resumed_from_the_last_event():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
@@ -208,14 +208,14 @@
         world.channel.event(later.entry())
         assert await world.channel.resumed.get() == 1
         caller = await world.caller()
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await caller.next(caller.set_up(2)))["type"] != "answer":
                 await asyncio.sleep(0.05)
         world.channel.writers.pop().write(b"not json\n9\n")  # and a cursor ahead of the events received
         assert await world.channel.resumed.get() == 2
 
 
-@program
+@async_test
 async def test_missing_events_are_requested_again_and_a_long_event_is_read():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
@@ -227,22 +227,22 @@
         writer.write(json.dumps({"cursor": 3, "nodes": {"endpoints": []}}).encode() + b"\n")
         assert await world.channel.resumed.get() == 1
         caller = await world.caller()
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await caller.next(caller.set_up(2)))["type"] != "answer":
                 await asyncio.sleep(0.05)
 
 
-@program
+@async_test
 async def test_a_reload_changes_the_channel_address_and_keeps_all_calls():
     # SIGHUP must not end the process, and a faulty file must not replace the configuration in use.
     switch, held = Switch("s-1", 1), Switch("s-2", 2, plan=["silent"])
     async with World(switch, held) as world:
         caller = await world.caller()
-        standing, unanswered = caller.set_up(1), caller.set_up(2, left=9000)
+        standing, unanswered = caller.set_up(1), caller.set_up(2, remaining_ms=9000)
         await caller.next(standing, "answer")
         await held.next("INVITE", unanswered)
         world.reload(channel="nowhere")
-        await world.logged("the old configuration stays: channel")
+        await world.wait_for_log("the old configuration stays: channel")
         moved = Channel()
         moved.events = [*world.channel.events]
         await moved.start()
@@ -251,29 +251,29 @@
         assert await moved.resumed.get() == 1  # the cursor is kept
         later = await world.add(Switch("s-3", 3))
         moved.event(later.entry())
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await caller.next(call := caller.set_up(3)))["type"] != "answer":
                 await asyncio.sleep(0.05)
-        assert world.channel.resumed.empty() and call in later.out
-        held.act("answer", unanswered)
+        assert world.channel.resumed.empty() and call in later.open_calls
+        held.handle_setup("answer", unanswered)
         assert (await caller.next(unanswered))["type"] == "answer"
         switch.bye(standing)
         assert (await caller.next(standing))["type"] == "release"
 
 
-@pytest.mark.parametrize("chop", [1, 7])
-@program
-async def test_messages_split_or_joined_at_any_byte_are_read_completely(chop):
+@pytest.mark.parametrize("write_size_bytes", [1, 7])
+@async_test
+async def test_messages_split_or_joined_at_any_byte_are_read_completely(write_size_bytes):
     switch = Switch("s-1", 1)
-    switch.chop = chop
+    switch.write_size_bytes = write_size_bytes
     async with World(switch) as world:
         caller = await world.caller()
         sent = []
         write, caller.writer.write = caller.writer.write, sent.append
         calls = [caller.set_up(1) for _ in range(3)]
         joined = b"".join(sent)
-        for at in range(0, len(joined), 40 * chop):
-            write(joined[at : at + 40 * chop])
+        for at in range(0, len(joined), 40 * write_size_bytes):
+            write(joined[at : at + 40 * write_size_bytes])
             await caller.writer.drain()
             await asyncio.sleep(0)
         assert {(await caller.next())["id"] for _ in calls} == set(calls)
@@ -299,7 +299,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD_LINES, ids=range(len(BAD_LINES)))
-@program
+@async_test
 async def test_malformed_input_of_a_caller_is_refused_or_ends_its_connection(bad):
     # Such a caller must get an answer or see its connection close, and nothing unusable may reach a switch.
     switch = Switch("s-1", 1)
@@ -313,7 +313,7 @@
         assert switch.count("INVITE") == 1
 
 
-@program
+@async_test
 async def test_a_second_set_up_with_the_same_id_gets_no_answer():
     switch = Switch("s-1", 1, plan=["silent"])
     async with World(switch) as world:
@@ -321,13 +321,17 @@
         call = first.set_up(1)
         await switch.next("INVITE", call)
         second.writer.write(set_up_line(call))
-        assert await second.silent(LONG)  # closed without an answer
-        switch.act("answer", call)
+        assert await second.no_message_within(WAIT_TIMEOUT_S)  # closed without an answer
+        switch.handle_setup("answer", call)
         assert (await first.next(call))["type"] == "answer"
         switch.bye(call)
         assert (await first.next(call))["type"] == "release"
         third.writer.write(set_up_line(call))
-        assert await third.silent(LONG) and await first.silent() and switch.count("INVITE") == 1
+        assert (
+            await third.no_message_within(WAIT_TIMEOUT_S)
+            and await first.no_message_within()
+            and switch.count("INVITE") == 1
+        )
         # If the second one comes on the same connection, all open calls there fail, one answer each, and it is closed.
         both = [first.set_up(1) for _ in range(2)]
         for call in both:
@@ -335,18 +339,20 @@
         first.writer.write(set_up_line(both[0]))
         answers = [await first.next() for _ in both]
         assert {row["id"] for row in answers} == set(both) and {row["type"] for row in answers} == {"release"}
-        assert await first.silent(LONG) and {(await switch.next("CANCEL"))[1] for _ in both} == set(both)
+        assert await first.no_message_within(WAIT_TIMEOUT_S) and {
+            (await switch.next("CANCEL"))[1] for _ in both
+        } == set(both)
 
 
-@program
+@async_test
 async def test_a_release_goes_to_a_caller_and_not_to_a_connection_without_calls():
     # A release would be lost on a connection that has brought no set-up, as nobody reads it there.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         holders = [await world.caller() for _ in range(5)]
         for holder in holders:
-            holder.say("ping", "00000000000000ff", cause=0)
-            await holder.next(kind="pong")
+            holder.send("ping", "00000000000000ff", cause=0)
+            await holder.next(message_type="pong")
         first, second = await world.caller(), await world.caller()
         calls = [first.set_up(1) for _ in range(2)]
         for call in calls:
@@ -364,23 +370,23 @@
         await idle.next(calls[1], "release")
         third.set_up(1)
         assert (await third.next(calls[1]))["type"] == "release"
-        third.say("released", calls[1])
-        assert await holders[0].silent()
+        third.send("released", calls[1])
+        assert await holders[0].no_message_within()
 
 
-@program
+@async_test
 async def test_a_release_of_an_ended_call_is_confirmed_and_of_an_unknown_one_fails():
     async with World(Switch("s-1", 1, plan=["500"])) as world:
         caller = await world.caller()
         call = caller.set_up(1)
         assert (await caller.next(call))["type"] == "release"
-        caller.say("release", call, cause=16)
+        caller.send("release", call, cause=16)
         assert (await caller.next(call))["type"] == "released"
-        caller.say("release", "00000000000000ab", cause=16)
+        caller.send("release", "00000000000000ab", cause=16)
         assert (await caller.next())["cause"] == 81
 
 
-@program
+@async_test
 async def test_hundreds_of_silent_connections_leave_room_for_a_caller():
     # Without a limit, the process would run out of file descriptors, and then accept no connection for a second.
     async with World(Switch("s-1", 1), limits={"cores": 1.0, "memory_mb": 64, "sockets": 64}) as world:
@@ -389,8 +395,10 @@
         crowd = [await world.caller() for _ in range(200)]
         late = await world.caller()
         assert (await late.next(late.set_up(1)))["type"] == "answer"
-        assert all([await connection.silent(LONG) for connection in crowd])  # each is closed
-        assert not [line for line in world.lines if "accept" in line]
+        assert all(
+            [await connection.no_message_within(WAIT_TIMEOUT_S) for connection in crowd]
+        )  # each is closed
+        assert not [line for line in world.log_lines if "accept" in line]
 
 
 ANSWER = (
@@ -413,7 +421,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD_SIP, ids=range(len(BAD_SIP)))
-@program
+@async_test
 async def test_a_malformed_answer_ends_its_connection_and_is_not_passed_on(bad):
     # A malformed message must not reach the caller, and nothing that follows it on the connection can be trusted.
     switch = Switch("s-1", 1, plan=["answer", "silent", "500"])
@@ -424,7 +432,7 @@
         affected = caller.set_up(1)
         await switch.next("INVITE", affected)
         switch.writers[0].write(bad.replace(b"%s", affected.encode()))
-        assert (await caller.next(affected))["type"] == "release" and await caller.silent()
+        assert (await caller.next(affected))["type"] == "release" and await caller.no_message_within()
         assert (await switch.next("BYE"))[1] == affected  # the switch may have answered it
         switch.plan = ["answer"]
         while (await caller.next(caller.set_up(1)))["type"] != "answer":
@@ -434,7 +442,7 @@
         await caller.next(standing, "release")
 
 
-@program
+@async_test
 async def test_a_repeated_answer_and_an_answer_to_no_set_up_are_ignored():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
@@ -442,17 +450,17 @@
         switch.writers[0].write(ANSWER.replace(b"%s", b"00000000000000aa"))
         call = caller.set_up(1)
         answer = await caller.next(call)
-        switch.act("answer", call)
-        assert answer["type"] == "answer" and await caller.silent()
+        switch.handle_setup("answer", call)
+        assert answer["type"] == "answer" and await caller.no_message_within()
         switch.bye(call)
         assert (await caller.next(call))["type"] == "release"
-        switch.act("answer", call)
-        assert await caller.silent()
+        switch.handle_setup("answer", call)
+        assert await caller.no_message_within()
         assert switch.count("BYE") == 0 and len(switch.writers) == 1
-        assert "00000000000000aa" not in [call_id for _, _, call_id in switch.log]
+        assert "00000000000000aa" not in [call_id for _, _, call_id in switch.received_log]
 
 
-@program
+@async_test
 async def test_a_silent_connection_is_closed_and_the_release_comes_on_the_next_one():
     # A connection may stay open and deliver nothing more. Without the check, its calls would stand for ever.
     switch = Switch("s-1", 1)
@@ -463,15 +471,15 @@
         await switch.next("OPTIONS")
         await asyncio.sleep(1)
         assert len(switch.writers) == 1  # a connection that answers is kept
-        switch.mute.append(switch.writers[0])
-        async with asyncio.timeout(LONG):
+        switch.muted_writers.append(switch.writers[0])
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while len(switch.writers) < 2:
                 await asyncio.sleep(0.02)
         switch.bye(call, writer=switch.writers[1])
         assert (await caller.next(call))["type"] == "release"
 
 
-@program
+@async_test
 async def test_calls_to_an_unreachable_switch_fail_until_it_is_back():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
@@ -484,12 +492,12 @@
         assert (await caller.next(standing))["cause"] == 41  # the end of the switch's process cuts its calls
         assert (await caller.next(caller.set_up(1)))["type"] == "release"
         await world.add(Switch("s-1", 1), switch.port)
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await caller.next(caller.set_up(1)))["type"] != "answer":
                 await asyncio.sleep(0.05)
 
 
-@program
+@async_test
 async def test_a_restart_of_a_switch_ends_its_earlier_calls():
     # The process that held the calls cannot send a release any more. Without this they would stand for ever.
     switch = Switch("s-1", 1)
@@ -502,7 +510,7 @@
         assert (await caller.next(old, "release"))["cause"] == 41
 
 
-@program
+@async_test
 async def test_a_set_up_that_waits_for_a_connection_is_never_sent_late():
     """A machine that is cut off accepts no connection. When it is back, no earlier set-up may reach it."""
     switch = Switch("s-1", 1)
@@ -519,53 +527,53 @@
                 client.connect_ex(("127.0.0.1", switch.port))
             for writer in switch.writers:
                 writer.transport.abort()
-            await world.logged("connection ended")
+            await world.wait_for_log("connection ended")
             call = caller.set_up(1)
             assert (await caller.next(call))["type"] == "release"
         again = await world.add(Switch("s-1", 1), switch.port)
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await caller.next(later := caller.set_up(1)))["type"] != "answer":
                 await asyncio.sleep(0.05)
-        assert call not in [call_id for _, _, call_id in again.log] and later
+        assert call not in [call_id for _, _, call_id in again.received_log] and later
 
 
-@program
+@async_test
 async def test_a_set_up_in_the_buffer_of_a_stalled_connection_is_dropped_with_it():
     switch = Switch("s-1", 1, plan=["silent"])
     async with World(switch) as world:
         caller = await world.caller()
         for writer in switch.writers:
             writer.transport.pause_reading()
-        call = caller.set_up(1, left=600, sdp="x" * 15_000)  # no time for a second attempt
+        call = caller.set_up(1, remaining_ms=600, sdp="x" * 15_000)  # no time for a second attempt
         assert (await caller.next(call))["type"] == "release"
-        await world.logged("connection ended")
+        await world.wait_for_log("connection ended")
         for writer in switch.writers:
             with contextlib.suppress(RuntimeError):
                 writer.transport.resume_reading()
         switch.plan = ["answer"]
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await caller.next(caller.set_up(1)))["type"] != "answer":
                 await asyncio.sleep(0.05)
-        assert (call, "INVITE") not in [(call_id, method) for _, method, call_id in switch.log]
+        assert (call, "INVITE") not in [(call_id, method) for _, method, call_id in switch.received_log]
 
 
-@program
+@async_test
 async def test_peers_get_reports_and_datagrams_of_strangers_are_ignored():
     async with World(Switch("s-1", 1)) as world:
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             data = await loop.sock_recv(world.peer, 2048)
         assert 9 < len(data) <= 256
         for datagram in (b"", b"\x01", data, b"x" * 300, bytes(256)):
             world.peer.sendto(datagram, ("127.0.0.1", world.peer_port))
         with socket.socket(type=socket.SOCK_DGRAM) as stranger:
             stranger.sendto(data, ("127.0.0.1", world.peer_port))
-        await world.logged("unknown sender")
+        await world.wait_for_log("unknown sender")
         caller = await world.caller()
         assert (await caller.next(caller.set_up(1)))["type"] == "answer"
 
 
-@program
+@async_test
 async def test_after_sigterm_new_connections_are_served_for_a_while_and_all_calls_finished():
     switch = Switch("s-1", 1)
     async with World(switch) as world:
@@ -573,7 +581,7 @@
         standing = caller.set_up(1)
         await caller.next(standing, "answer")
         world.process.send_signal(signal.SIGTERM)
-        await world.logged("finishing")
+        await world.wait_for_log("finishing")
         late = await world.caller()  # new connections keep arriving for a while
         call = late.set_up(1)
         assert (await late.next(call))["type"] == "answer"
@@ -581,7 +589,7 @@
         assert (await caller.next(standing))["type"] == "release"
         switch.bye(call)
         assert (await late.next(call))["type"] == "release"
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             assert await world.process.wait() == 0
 
 
@@ -609,6 +617,11 @@
         toml.write_text(operator)
         arguments += ["--operator", str(toml)]
     run = subprocess.run(
-        arguments, cwd=ROOT, env={"ROUTER_CONFIG": str(config)}, capture_output=True, text=True, timeout=LONG
+        arguments,
+        cwd=ROOT,
+        env={"ROUTER_CONFIG": str(config)},
+        capture_output=True,
+        text=True,
+        timeout=WAIT_TIMEOUT_S,
     )
     assert run.returncode == 2 and key in run.stderr and run.stderr.count("\n") == 1
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -18,10 +18,10 @@
 
 from tansyspur.planner.fleet import StoreSwitch
 from tansyspur.rig import results
-from tansyspur.rig.plant import OtherWork, Processor, TrunkGroup, poisson_times
+from tansyspur.rig.fleet_model import OtherWork, Processor, TrunkGroup, poisson_times
 from tests.test_erlang import tool
 from tests.test_records import EXAMPLES
-from tests.world import LONG, ROOT
+from tests.world import ROOT, WAIT_TIMEOUT_S
 
 pytestmark = pytest.mark.xdist_group("rig")  # a run starts eight processes, so only one run at a time
 FILES = [str(EXAMPLES / "fleet.cue"), str(EXAMPLES / "load.cue")]
@@ -121,9 +121,9 @@
     children = {int(pid) for pid in children_of(process.pid)}
     assert len(children) == 7
     process.send_signal(signal.SIGINT)
-    out, _ = process.communicate(timeout=LONG)
+    out, _ = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert "interrupted" in out and json.loads((tmp_path / "summary.json").read_text())["interrupted"]
-    until = time.monotonic() + LONG
+    until = time.monotonic() + WAIT_TIMEOUT_S
     while any(os.path.exists(f"/proc/{pid}") for pid in children) and time.monotonic() < until:
         time.sleep(0.05)
     assert not any(os.path.exists(f"/proc/{pid}") for pid in children)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from tansyspur import interface
-from tests.conftest import MS, OWN, Driver, S
+from tests.conftest import NS_PER_MS, NS_PER_S, OWN, Driver
 
-GRACE_NS = 20 * MS  # a final answer may come this long after the end of the try
+GRACE_NS = 20 * NS_PER_MS  # a final answer may come this long after the end of the try
 NUMBERS = (2, 3, 4)
 OUTCOMES = [outcome for outcome in interface.Outcome if outcome is not interface.Outcome.ENDED]
 MAY_HOLD_CIRCUITS = (interface.Outcome.TIMED_OUT, interface.Outcome.CUT, interface.Outcome.CANCELLED)
@@ -84,7 +84,7 @@
                 case interface.Refuse(call_id, retry_after_ns):
                     self.final_answer(call_id)
                     may_retry = call_id not in self.earliest_ns and call_id not in self.transit_calls
-                    assert 0 <= retry_after_ns <= (2 * S if may_retry else 0), (
+                    assert 0 <= retry_after_ns <= (2 * NS_PER_S if may_retry else 0), (
                         "retry time for a call that may have run or is in transit"
                     )
                 case interface.Fail(call_id):
@@ -107,7 +107,7 @@
         """Advance the time tick by tick; attempts time out at the end of the try, timers fire when due."""
         end_ns = self.driver.now + span_ns
         while self.driver.now < end_ns:
-            self.driver.now += 5 * MS
+            self.driver.now += 5 * NS_PER_MS
             for call_id, expires_ns in list(self.unanswered.items()):
                 if call_id in self.under_way and self.driver.now >= expires_ns:
                     self.end_attempt(call_id, interface.Outcome.TIMED_OUT, None)
@@ -124,18 +124,20 @@
         switch_id, attempt = self.under_way.pop(call_id)
         final = call_id not in self.unanswered
         if outcome in MAY_HOLD_CIRCUITS:
-            self.earliest_ns[call_id] = self.driver.now + 300 * MS
-        attempt_ended = interface.AttemptEnded(call_id, attempt, switch_id, outcome, 50 * MS, final, cause)
+            self.earliest_ns[call_id] = self.driver.now + 300 * NS_PER_MS
+        attempt_ended = interface.AttemptEnded(
+            call_id, attempt, switch_id, outcome, 50 * NS_PER_MS, final, cause
+        )
         self.check(self.driver.handle(attempt_ended))
 
     def apply(self, event) -> None:
         match event:
             case ("call", number, span_ms, origin):
                 self.next_call += 1
-                self.unanswered[self.next_call] = self.driver.now + span_ms * MS
+                self.unanswered[self.next_call] = self.driver.now + span_ms * NS_PER_MS
                 extra = {"in_transit": origin == 1, "via": 2 if origin == 1 else None, "redial": origin == 2}
                 end_ns = self.unanswered[self.next_call]
-                self.late_from_ns[self.next_call] = self.driver.now + (0 if origin == 2 else 2 * S)
+                self.late_from_ns[self.next_call] = self.driver.now + (0 if origin == 2 else 2 * NS_PER_S)
                 self.destinations[self.next_call] = number
                 self.transit_calls.update({self.next_call} if origin == 1 else ())
                 self.check(self.driver.offer(self.next_call, number, expires_ns=end_ns, **extra))
@@ -144,7 +146,9 @@
                 call_id = choices[index % len(choices)]
                 switch_id, attempt = self.under_way[call_id]
                 del self.unanswered[call_id]
-                self.check(self.driver.handle(interface.CallAnswered(call_id, attempt, switch_id, 40 * MS)))
+                self.check(
+                    self.driver.handle(interface.CallAnswered(call_id, attempt, switch_id, 40 * NS_PER_MS))
+                )
             case ("ended", index, outcome, cause) if self.under_way:
                 self.end_attempt(sorted(self.under_way)[index % len(self.under_way)], outcome, cause)
             case ("abandoned", index) if self.unanswered:
@@ -157,7 +161,7 @@
                 if state is interface.SwitchState.IN_SERVICE:
                     self.closed_from_ns.pop(100 + number, None)
                 else:
-                    self.closed_from_ns.setdefault(100 + number, self.driver.now + 500 * MS)
+                    self.closed_from_ns.setdefault(100 + number, self.driver.now + 500 * NS_PER_MS)
                 self.check(
                     self.driver.switch_list(number, kind=interface.SwitchListKind.CHANGES, state=state)
                 )
@@ -169,7 +173,7 @@
                     )
                 )
             case ("wait", ticks):
-                self.wait(ticks * 5 * MS)
+                self.wait(ticks * 5 * NS_PER_MS)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
@@ -178,7 +182,7 @@
     checker = RuleChecker()
     for event in events:
         checker.apply(event)
-    checker.wait(2 * S)
+    checker.wait(2 * NS_PER_S)
     assert not checker.unanswered, "rule 1: calls without a final answer"
 
 
@@ -191,9 +195,11 @@
     start_ns, window_ns = checker.driver.now, checker.driver.controller.settings.fall_ns
     for number, ticks, transit in events:
         checker.apply(("call", number, 900, 1 if transit else 0))
-        checker.wait(ticks * 5 * MS)
+        checker.wait(ticks * 5 * NS_PER_MS)
     times_ns = [
-        at_ns for at_ns, _, switch_id in checker.setups if switch_id == 102 and at_ns < start_ns + 13 * S
+        at_ns
+        for at_ns, _, switch_id in checker.setups
+        if switch_id == 102 and at_ns < start_ns + 13 * NS_PER_S
     ]
     assert all(later_ns - at_ns >= window_ns for at_ns, later_ns in zip(times_ns, times_ns[1:], strict=False))
 
--- a/tests/test_standing_trial.py
+++ b/tests/test_standing_trial.py
@@ -11,13 +11,13 @@
 import pytest
 
 from tests.standing_trial import Trial
-from tests.test_program import program
+from tests.test_program import async_test
 
 SHUTDOWN_BELOW_S = 10.0
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-@program
+@async_test
 async def test_each_release_reaches_the_caller_in_time_despite_faults(seed):
     trial = Trial(seed, seconds=20)
     await trial.run()
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("seed", [101, 102])
-@program
+@async_test
 async def test_each_release_reaches_the_caller_before_the_kill_despite_faults(seed):
     trial = Trial(seed, seconds=6, shutdown=True)
     await trial.run()
--- a/tests/test_syslog.py
+++ b/tests/test_syslog.py
@@ -5,8 +5,8 @@
 import socket
 
 from tansyspur.syslog import BURST_LINES, Syslog
-from tests.test_program import program
-from tests.world import LONG, Switch, World
+from tests.test_program import async_test
+from tests.world import WAIT_TIMEOUT_S, Switch, World
 
 LOG_LINE = re.compile(
     r"<(\d{1,3})>1 \d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z [!-~]{1,255} tansyspur \d+ [!-~]{1,32} "
@@ -36,7 +36,7 @@
     )
 
 
-@program
+@async_test
 async def test_a_collector_gets_the_call_records():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
         collector.bind(("127.0.0.1", 0))
@@ -46,10 +46,10 @@
             caller = await world.caller()
             call = caller.set_up(1)
             await caller.next(call, "answer")
-            async with asyncio.timeout(LONG):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 text = ""
                 while f'call="{call}"' not in text:
                     text = (await asyncio.get_running_loop().sock_recv(collector, 4096)).decode()
                     assert LOG_LINE.fullmatch(text)
             assert text.endswith("] stands")
-            await world.logged(re.escape(text))  # the same line on standard error
+            await world.wait_for_log(re.escape(text))  # the same line on standard error
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,8 @@
 """Test environment: one gatekeeper process, with stand-ins for the callers, switches, command channel and peer.
 
 `World` starts the process and the stand-ins on loopback ports and stops them again. Tests wait for events, not
-for fixed times, so these helpers do not measure speed. Waits that do not end raise TimeoutError after LONG seconds.
+for fixed times, so these helpers do not measure speed. Waits that do not end raise TimeoutError after
+WAIT_TIMEOUT_S seconds.
 """
 
 import asyncio
@@ -19,9 +20,9 @@
 
 from tansyspur.faults.proxy import FaultProxy
 
-LONG = 20.0  # seconds; limit of each wait, reached only by a failing test
+WAIT_TIMEOUT_S = 20.0  # seconds; limit of each wait, reached only by a failing test
 ROOT = Path(__file__).parent.parent
-S = 1_000_000_000  # nanoseconds in a second
+NS_PER_S = 1_000_000_000  # nanoseconds in a second
 
 
 RESERVED_SOCKETS = collections.deque(maxlen=64)  # bound, so that the system does not assign their ports again
@@ -52,15 +53,23 @@
         "balancers": 2,
         "ordinal": 0,
         "classes": [
-            {"name": "lookup", "value": 1.0, "objective-ns": 3 * S, "deadline-ns": 9 * S, "late-worth": 0.25},
-            {"name": "fix", "value": 8.0, "objective-ns": 3 * S, "deadline-ns": 6 * S, "late-worth": 0.25},
+            {
+                "name": "lookup", "value": 1.0, "objective-ns": 3 * NS_PER_S, "deadline-ns": 9 * NS_PER_S,
+                "late-worth": 0.25,
+            },
+            {
+                "name": "fix", "value": 8.0, "objective-ns": 3 * NS_PER_S, "deadline-ns": 6 * NS_PER_S,
+                "late-worth": 0.25,
+            },
         ],
-        "family-info": {"shape": "mesh", "here": 0, "release-ns": S // 5, "class-hold-ns": [S, S]},
+        "family-info": {"shape": "mesh", "here": 0, "release-ns": NS_PER_S // 5, "class-hold-ns": [NS_PER_S, NS_PER_S]},
         "limits": {
             "max-attempts": 5, "peers": True, "cancel": True, "probes": True, "retry-after": True,
-            "max-retry-after-ns": 2 * S, "dial-timeout-ns": S // 2, "conn-idle-ns": 600 * S,
+            "max-retry-after-ns": 2 * NS_PER_S, "dial-timeout-ns": NS_PER_S // 2, "conn-idle-ns": 600 * NS_PER_S,
+        },
+        "guarantees": {
+            "cold-share": 0.31, "ramp-time-ns": 13 * NS_PER_S, "overload-factor": 3.0, "fall-ns": 3 * NS_PER_S,
         },
-        "guarantees": {"cold-share": 0.31, "ramp-time-ns": 13 * S, "overload-factor": 3.0, "fall-ns": 3 * S},
     }  # fmt: skip
     return {**defaults, **changed}
 
@@ -68,22 +77,22 @@
 class Switch:
     """A stand-in carrier switch that speaks SIP over TCP.
 
-    `plan` lists the action for each set-up in turn (see `act`); its last entry applies to all further set-ups.
+    `plan` lists the action for each set-up in turn (see `handle_setup`); its last entry applies to all further set-ups.
     With `circuits`, set-ups beyond that number are refused and each message changes the free circuits reported.
     """
 
     def __init__(self, name, number, plan=("answer",), free=20, circuits=0):
         self.name, self.number, self.plan = name, number, list(plan)
         self.free, self.circuits = circuits or free, circuits
-        self.heard = asyncio.Queue()  # (method or status, Call-ID, headers, body) of each message received
-        self.log = []  # (loop time, method or status, Call-ID) of each message received, kept for assertions
-        # origin: the connection of each call's INVITE; chop: bytes per write, 0 to write each message at once
-        self.writers, self.origin, self.chop = [], {}, 0
-        # out: Call-IDs of attempts and calls that are not over; with_refusal: extra header line of refusals
-        self.out, self.with_refusal = set(), "X-Any: 1"
-        self.untold = {}  # Call-ID -> cause of releases that are sent on each connection that opens
+        self.received = asyncio.Queue()  # (method or status, Call-ID, headers, body) of each message received
+        self.received_log = []  # (loop time, method or status, Call-ID) of each message received, kept for assertions
+        # origin: the connection of each call's INVITE; write_size_bytes: 0 to write each message at once
+        self.writers, self.origin, self.write_size_bytes = [], {}, 0
+        # open_calls: Call-IDs of attempts and calls that have not ended; refusal_header: extra header line of refusals
+        self.open_calls, self.refusal_header = set(), "X-Any: 1"
+        self.pending_releases = {}  # Call-ID -> cause of releases that are sent on each connection that opens
         self.proxy = None  # the FaultProxy through which the gatekeeper reaches this switch, if any
-        self.mute = []  # connections on which nothing more is sent
+        self.muted_writers = []  # connections on which nothing more is sent
 
     async def start(self, port=0):
         """Listen on a loopback port (0: any free one) and return the switch itself."""
@@ -106,7 +115,7 @@
     async def serve(self, reader, writer):
         self.writers.append(writer)
         self.notify(writer)
-        for call_id, cause in self.untold.items():
+        for call_id, cause in self.pending_releases.items():
             self.bye(call_id, cause, writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
@@ -115,21 +124,23 @@
                 headers = {name.lower(): value for name, value in (row.split(": ", 1) for row in rows)}
                 body = await reader.readexactly(int(headers["content-length"]))
                 method = start.split()[0]
-                self.log.append((asyncio.get_running_loop().time(), method, headers["call-id"]))
+                self.received_log.append((asyncio.get_running_loop().time(), method, headers["call-id"]))
                 if method == "INVITE":
-                    assert headers["call-id"] not in self.out, "two attempts of one call in progress at once"
-                    self.out.add(headers["call-id"])
+                    assert headers["call-id"] not in self.open_calls, (
+                        "two attempts of one call in progress at once"
+                    )
+                    self.open_calls.add(headers["call-id"])
                     self.origin[headers["call-id"]] = writer
                     action = self.plan[0] if len(self.plan) == 1 else self.plan.pop(0)
-                    full = self.circuits and len(self.out) > self.circuits
-                    self.act("480 all_trunks_busy" if full else action, headers["call-id"], writer)
+                    full = self.circuits and len(self.open_calls) > self.circuits
+                    self.handle_setup("480 all_trunks_busy" if full else action, headers["call-id"], writer)
                 elif method == "OPTIONS":
                     self.send(writer, "SIP/2.0 200 OK", headers["call-id"], "1 OPTIONS")
                 elif method in ("CANCEL", "BYE"):
-                    self.out.discard(headers["call-id"])
+                    self.open_calls.discard(headers["call-id"])
                 if self.circuits and method != "ACK":
-                    self.notify(writer, self.circuits - len(self.out))
-                self.heard.put_nowait((method, headers["call-id"], headers | {"start": start}, body))
+                    self.notify(writer, self.circuits - len(self.open_calls))
+                self.received.put_nowait((method, headers["call-id"], headers | {"start": start}, body))
         writer.close()
 
     def notify(self, writer, free=None):
@@ -139,7 +150,7 @@
             writer, "NOTIFY sip:group@net SIP/2.0", "state", "1 NOTIFY", f"X-Group: free:{self.free};size:20"
         )
 
-    def act(self, action, call_id, writer=None):
+    def handle_setup(self, action, call_id, writer=None):
         """Handle a set-up: "answer", "reset" (abort the connection), "silent" (send nothing), or refuse it.
 
         A refusal is given as its status code, optionally followed by a space and the value of X-Cause.
@@ -149,13 +160,13 @@
             self.send(writer, "SIP/2.0 100 Trying", call_id, "1 INVITE")
             self.send(writer, "SIP/2.0 200 OK", call_id, "1 INVITE", body=f"from-{self.name} \r\nv=0 é\r\n")
         elif action == "reset":
-            self.out.discard(call_id)
+            self.open_calls.discard(call_id)
             writer.transport.abort()
         elif action != "silent":
             status, _, note = action.partition(" ")
-            self.out.discard(call_id)
+            self.open_calls.discard(call_id)
             self.send(
-                writer, f"SIP/2.0 {status} No", call_id, "1 INVITE", f"X-Cause: {note}", self.with_refusal
+                writer, f"SIP/2.0 {status} No", call_id, "1 INVITE", f"X-Cause: {note}", self.refusal_header
             )
 
     def bye(self, call_id, cause=16, writer=None):
@@ -164,28 +175,28 @@
         self.send(writer, f"BYE sip:{call_id}@net SIP/2.0", call_id, "2 BYE", f"Reason: Q.850;cause={cause}")
 
     def send(self, writer, start, call_id, cseq, *headers, body=""):
-        if writer in self.mute:
+        if writer in self.muted_writers:
             return
         data = body.encode()
         lines = [start, "Via: SIP/2.0/TCP peer", f"Call-ID: {call_id}", f"CSeq: {cseq}", *headers]
         message = "\r\n".join([*lines, f"Content-Length: {len(data)}", "", ""]).encode() + data
         for piece in (
-            [message[at : at + self.chop] for at in range(0, len(message), self.chop)]
-            if self.chop
+            [message[at : at + self.write_size_bytes] for at in range(0, len(message), self.write_size_bytes)]
+            if self.write_size_bytes
             else [message]
         ):
             writer.write(piece)
 
     async def next(self, method, call_id=None):
         """Wait for the next message with this method (and Call-ID) and return it; skip all others."""
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
-                message = await self.heard.get()
+                message = await self.received.get()
                 if message[0] == method and call_id in (None, message[1]):
                     return message
 
     def count(self, method):
-        return sum(1 for _, received, _ in self.log if received == method)
+        return sum(1 for _, received_method, _ in self.received_log if received_method == method)
 
 
 class Channel:
@@ -234,32 +245,32 @@
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         return self
 
-    def say(self, message_type, call_id, **more):
+    def send(self, message_type, call_id, **more):
         """Send one message; keyword arguments add or replace its keys."""
         self.writer.write(
             json.dumps({"type": message_type, "id": call_id, "fields": {}, **more}).encode() + b"\n"
         )
 
-    def set_up(self, dest, left=4000, extras="", sdp="o=caller\r\n", **fields):
-        """Send a set-up toward an exchange number, with `left` ms to its deadline, and return the call's id."""
+    def set_up(self, dest, remaining_ms=4000, extras="", sdp="o=caller\r\n", **fields):
+        """Send a set-up toward an exchange number, with `remaining_ms` ms to its deadline, and return the call's id."""
         call_id = f"{next(self.ids):016x}"
-        fields = {"class": "lookup", "left": str(left), "key": f"{int(call_id, 16):016x}", **fields}
+        fields = {"class": "lookup", "left": str(remaining_ms), "key": f"{int(call_id, 16):016x}", **fields}
         fields["extras"] = f"dest:{dest};width:1;via:-1{extras}"
-        self.say("setup", call_id, fields=fields, sdp=sdp)
+        self.send("setup", call_id, fields=fields, sdp=sdp)
         return call_id
 
-    async def next(self, call_id=None, kind=None):
+    async def next(self, call_id=None, message_type=None):
         """Wait for the next message (of this call, of this type) and return it; skip all others.
 
         Raises ConnectionError when the gatekeeper closes the connection.
         """
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 line = await self.reader.readline()
                 if not line:
                     raise ConnectionError("the program closed the connection")
                 row = json.loads(line)
-                if call_id in (None, row["id"]) and kind in (None, row["type"]):
+                if call_id in (None, row["id"]) and message_type in (None, row["type"]):
                     return row
 
     async def next_row(self):
@@ -269,7 +280,7 @@
             raise ConnectionError("the program closed the connection")
         return json.loads(line)
 
-    async def silent(self, seconds=0.3):
+    async def no_message_within(self, seconds=0.3):
         """Return whether no message arrives within `seconds`; a second final answer would be one."""
         try:
             async with asyncio.timeout(seconds):
@@ -294,7 +305,7 @@
         self.proxied, self.proxies, self.channel_proxy = proxied, [], None
         self.switches, self.operator, self.settings = [*switches], operator, settings(**changed)
         self.limits = limits or {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-        self.channel, self.lines = Channel(), []
+        self.channel, self.log_lines = Channel(), []
 
     async def __aenter__(self):
         for switch in self.switches:
@@ -341,7 +352,7 @@
         try:
             await self.ready()
         except BaseException:
-            print("\n".join(self.lines))
+            print("\n".join(self.log_lines))
             if self.process.returncode is None:
                 self.process.kill()
             raise
@@ -364,11 +375,11 @@
         self.log_readers.append(asyncio.create_task(self.read_log(process)))
         return process
 
-    async def replace(self):
+    async def start_successor(self):
         """Start the successor process and wait until its console reports ready; return the old, running one."""
         old, self.console_port = self.process, free_port()
         self.process = await self.launch(self.console_port)
-        await self.says("STATUS", "+OK")
+        await self.wait_for_answer("STATUS", "+OK")
         return old
 
     async def console(self, command, port=None):
@@ -377,15 +388,15 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port or self.console_port)
         except OSError:
             return ""
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             writer.write(command.encode() + b"\n")
             answer = (await reader.read()).decode()
         writer.close()
         return answer
 
-    async def says(self, command, start):
+    async def wait_for_answer(self, command, start):
         """Repeat a console command until its answer starts with this text, and return the answer."""
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not (answer := await self.console(command)).startswith(start):
                 await asyncio.sleep(0.05)
         return answer
@@ -401,22 +412,22 @@
 
     async def read_log(self, process):
         while line := await process.stderr.readline():
-            self.lines.append(line.decode().rstrip("\n"))
+            self.log_lines.append(line.decode().rstrip("\n"))
 
     async def ready(self):
         """Wait until the gatekeeper answers a caller's ping with cause 1: serving, each switch connected.
 
         Raises AssertionError, with the log, when the process ends first.
         """
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 if self.process.returncode is not None:
                     raise AssertionError(
-                        "the gatekeeper process ended during its start: " + "\n".join(self.lines)
+                        "the gatekeeper process ended during its start: " + "\n".join(self.log_lines)
                     )
                 with contextlib.suppress(OSError, ConnectionError):
                     caller = await self.caller()
-                    caller.say("ping", "00000000000000ff", cause=0)
+                    caller.send("ping", "00000000000000ff", cause=0)
                     if (await caller.next())["cause"] == 1:
                         caller.close()
                         return
@@ -425,23 +436,23 @@
     async def caller(self):
         return await Caller().connect(self.port)
 
-    async def logged(self, pattern, times=1):
+    async def wait_for_log(self, pattern, times=1):
         """Wait until at least `times` log lines match the regular expression."""
-        async with asyncio.timeout(LONG):
-            while sum(1 for line in self.lines if re.search(pattern, line)) < times:
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while sum(1 for line in self.log_lines if re.search(pattern, line)) < times:
                 await asyncio.sleep(0.02)
 
     async def stop(self):
         """Send SIGTERM and return the exit code of the process."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await self.process.wait()
 
     async def __aexit__(self, error_type, error, trace):
         try:
             for switch in self.switches:  # the gatekeeper would wait for calls that are still standing
-                for call_id in switch.out:
+                for call_id in switch.open_calls:
                     for writer in switch.writers:
                         switch.bye(call_id, writer=writer)
             code = await self.stop()
@@ -450,12 +461,12 @@
                 self.process.kill()
             await asyncio.gather(*self.log_readers)
             if error:
-                print("\n".join(self.lines))
+                print("\n".join(self.log_lines))
             for proxy in self.proxies:
                 proxy.close()
             for server in [self.channel, *self.switches]:
                 server.server.close()
             self.peer.close()
             self.folder.cleanup()
-        assert error or code == 0, self.lines[-5:]
-        assert error or not [line for line in self.lines if "Traceback" in line or "failed:" in line]
+        assert error or code == 0, self.log_lines[-5:]
+        assert error or not [line for line in self.log_lines if "Traceback" in line or "failed:" in line]
