--- a/tansyspur/net/framing.py
+++ b/tansyspur/net/framing.py
@@ -41,5 +41,5 @@
         """
         end = self.find(b"\n")
         if max(end, 0 if end >= 0 else len(self.view)) > self.max_bytes:
-            raise FramingError("line too long")
+            raise FramingError(f"line longer than {self.max_bytes} bytes")
         return self.take(end + 1)[:-1] if end >= 0 else None
--- a/tansyspur/net/jsonlines.py
+++ b/tansyspur/net/jsonlines.py
@@ -387,7 +387,10 @@
 
         # Clients that send nothing, or never complete a message, would each hold a descriptor.
         first_message_timer = link.loop.call_later(
-            FIRST_MESSAGE_TIMEOUT_S, self._drop_link, link, "no valid message within 2.5 s"
+            FIRST_MESSAGE_TIMEOUT_S,
+            self._drop_link,
+            link,
+            f"no valid message within {FIRST_MESSAGE_TIMEOUT_S:g} s",
         )
 
         def on_data(chunks: Chunks) -> bool:
@@ -402,7 +405,7 @@
             how_ended = await link.read_all(
                 on_data,
                 PARTIAL_MESSAGE_TIMEOUT_S,
-                lambda: self._drop_link(link, "message not complete within 2 s"),
+                lambda: self._drop_link(link, f"message not complete within {PARTIAL_MESSAGE_TIMEOUT_S:g} s"),
             )
             if how_ended != "closed" and not link.closed:
                 self.log("notice", "front", f"connection ended: {how_ended}")
@@ -514,7 +517,7 @@
             self.log(
                 "warning",
                 "front",
-                f"set-up with an invalid value of {error}; releasing it with cause 100",
+                f"set-up with an invalid value of {error}; releasing it with cause {INVALID_ELEMENT}",
                 call=wire_id,
             )
             self._remember_ended(wire_id)
--- a/tansyspur/net/peers.py
+++ b/tansyspur/net/peers.py
@@ -45,7 +45,9 @@
         sender = self.ordinals.get((addr[0], addr[1]))
         if sender is None or len(data) > MAX_DATAGRAM_BYTES:
             return self.log(
-                "warning", "peers", "datagram from an unknown sender or longer than 256 bytes dropped"
+                "warning",
+                "peers",
+                f"datagram from an unknown sender or longer than {MAX_DATAGRAM_BYTES} bytes dropped",
             )
         self.on_message(sender, data)
 
@@ -64,7 +66,7 @@
             return self.log(
                 "warning",
                 "peers",
-                "message not sent: no such peer, or longer than 256 bytes",
+                f"message not sent: no such peer, or longer than {MAX_DATAGRAM_BYTES} bytes",
                 peer=peer,
                 bytes=len(data),
             )
--- a/tansyspur/net/sip.py
+++ b/tansyspur/net/sip.py
@@ -488,7 +488,7 @@
 
         def on_incomplete() -> None:
             nonlocal error_text
-            error_text = "message not complete within 0.2 s"
+            error_text = f"message not complete within {PARTIAL_MESSAGE_TIMEOUT_S:g} s"
             link.abort()
 
         try:
--- a/tansyspur/net/sip_messages.py
+++ b/tansyspur/net/sip_messages.py
@@ -48,7 +48,7 @@
     head_bytes = chunks.find(b"\r\n\r\n")
     if head_bytes < 0 or head_bytes > MAX_MESSAGE_BYTES:
         if head_bytes > MAX_MESSAGE_BYTES or len(chunks.view) > MAX_MESSAGE_BYTES:
-            raise FramingError("SIP header section longer than 16 KiB")
+            raise FramingError(f"SIP header section longer than {MAX_MESSAGE_BYTES // 1024} KiB")
         return None
     try:
         start_line, *lines = str(chunks.view[:head_bytes], "utf-8").split("\r\n")
@@ -71,7 +71,7 @@
         raise FramingError("SIP message without a valid Content-Length")
     total_bytes = head_bytes + 4 + int(length)
     if total_bytes > MAX_MESSAGE_BYTES:
-        raise FramingError("SIP message longer than 16 KiB")
+        raise FramingError(f"SIP message longer than {MAX_MESSAGE_BYTES // 1024} KiB")
     if len(chunks.view) < total_bytes:
         return None
     return Message(start_line, headers, chunks.take(total_bytes)[head_bytes + 4 :])
