--- a/tansyspur/__main__.py
+++ b/tansyspur/__main__.py
@@ -161,8 +161,8 @@
     # Starting
 
     async def run(self) -> int:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(signal_number, self.stop_requested.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         if self.config.console:
             self.gatekeeper.spawn(self.console.open(*self.config.console), "console")
@@ -302,33 +302,33 @@
     def reload(self) -> None:
         """Apply the new configuration completely, or keep the old one. Open calls are not affected."""
         try:
-            fresh = configuration.load(operator_path=self.operator_path, running=self.config)
+            new_config = configuration.load(operator_path=self.operator_path, running=self.config)
         except configuration.ConfigError as error:
             self.gatekeeper.metrics.rejected_reloads += 1
             return self.log(
                 "error", "reload", f"new configuration rejected; the old configuration stays: {error}"
             )
-        fixed = {key: getattr(self.config, key) for key in configuration.RESTART_ONLY_KEYS}
-        at_next_start = [key for key, value in fixed.items() if getattr(fresh, key) != value]
-        if configuration.without_numbers(fresh.iax2) != configuration.without_numbers(self.config.iax2):
+        restart_only = {key: getattr(self.config, key) for key in configuration.RESTART_ONLY_KEYS}
+        at_next_start = [key for key, value in restart_only.items() if getattr(new_config, key) != value]
+        if configuration.without_numbers(new_config.iax2) != configuration.without_numbers(self.config.iax2):
             at_next_start.append("iax2")
         self.log(
             "notice",
             "reload",
             "configuration read",
-            channel=fresh.channel,
-            classes=",".join(call_class.name for call_class in fresh.settings.classes),
+            channel=new_config.channel,
+            classes=",".join(call_class.name for call_class in new_config.settings.classes),
             **({"at_next_start": ",".join(at_next_start)} if at_next_start else {}),
         )
-        self.config = replace(fresh, iax2=self.config.iax2, **fixed)
+        self.config = replace(new_config, iax2=self.config.iax2, **restart_only)
         self.gatekeeper.metrics.reloads += 1
-        self.log.set_level(fresh.syslog.level)
-        self.gatekeeper.apply_settings(fresh.settings)
+        self.log.set_level(new_config.syslog.level)
+        self.gatekeeper.apply_settings(new_config.settings)
         for switch in self.sip_switches:
-            switch.dial_timeout_s = fresh.dial_timeout_s
-        if self.iax2_front and fresh.iax2:
-            self.iax2_front.set_number_routes(fresh.iax2.numbers)
-        self.channel.change_address(fresh.channel)
+            switch.dial_timeout_s = new_config.dial_timeout_s
+        if self.iax2_front and new_config.iax2:
+            self.iax2_front.set_number_routes(new_config.iax2.numbers)
+        self.channel.change_address(new_config.channel)
         if self.records:
             self.records.reopen()
 
--- a/tansyspur/config.py
+++ b/tansyspur/config.py
@@ -160,9 +160,9 @@
             raise ConfigError(f"{prefix}{key}: missing, though the running configuration has it")
         if isinstance(value, dict) and prefix + key != "known":
             check_complete(typed_value(table, key, dict, {}, prefix), value, f"{prefix}{key}.")
-    shared = [set(row) for row in running_table.get("classes", ()) if prefix == "settings."]
-    for index, row in enumerate(table["classes"] if shared else ()):
-        for key in sorted(set.intersection(*shared)):
+    class_key_sets = [set(row) for row in running_table.get("classes", ()) if prefix == "settings."]
+    for index, row in enumerate(table["classes"] if class_key_sets else ()):
+        for key in sorted(set.intersection(*class_key_sets)):
             if key not in row:
                 raise ConfigError(f"settings.classes[{index}].{key}: missing")
 
@@ -320,7 +320,7 @@
     )
     peers = {}
     for prefix, row in table_rows(table, "peer"):
-        peer = peer_row(row, prefix, environment)
+        peer = iax2_peer(row, prefix, environment)
         peers[peer.name] = peer
     switches = {}
     for prefix, row in table_rows(table, "switch"):
@@ -332,8 +332,8 @@
             or not 0 <= qualify_s <= 3600
         ):
             raise ConfigError(f"{prefix}qualify_s: expected seconds from 0 to 3600, not {qualify_s!r}")
-        switches[required(row, "name", prefix)] = Iax2SwitchConfig(
-            known_peer(row, peers, prefix),
+        switches[required_text(row, "name", prefix)] = Iax2SwitchConfig(
+            required_peer_name(row, peers, prefix),
             integer_value(row, "circuits", 0, prefix, 0, 10_000),
             typed_value(row, "context", str, "", prefix),
             float(qualify_s),
@@ -341,7 +341,7 @@
     registrations = {}
     for prefix, row in table_rows(table, "register"):
         check_known_keys(row, prefix, "peer", "refresh_s")
-        peer_name = known_peer(row, peers, prefix)
+        peer_name = required_peer_name(row, peers, prefix)
         if peers[peer_name].address is None:
             raise ConfigError(f"{prefix}peer: {peer_name!r} has no address to register at")
         registrations[peer_name] = integer_value(row, "refresh_s", 60, prefix, 10, 3600)
@@ -357,21 +357,21 @@
     )
 
 
-def required(row: Mapping[str, Any], key: str, prefix: str) -> str:
+def required_text(row: Mapping[str, Any], key: str, prefix: str) -> str:
     value = typed_value(row, key, str, "", prefix)
     if not value:
         raise ConfigError(f"{prefix}{key}: missing")
     return value
 
 
-def known_peer(row: Mapping[str, Any], peers: Mapping[str, Peer], prefix: str) -> str:
-    name = required(row, "peer", prefix)
+def required_peer_name(row: Mapping[str, Any], peers: Mapping[str, Peer], prefix: str) -> str:
+    name = required_text(row, "peer", prefix)
     if name not in peers:
         raise ConfigError(f"{prefix}peer: no peer is named {name!r}")
     return name
 
 
-def peer_row(row: Mapping[str, Any], prefix: str, environment: Mapping[str, str]) -> Peer:
+def iax2_peer(row: Mapping[str, Any], prefix: str, environment: Mapping[str, str]) -> Peer:
     """Return an IAX2 peer. Its secret may be in an environment variable, to keep it out of the file."""
     check_known_keys(row, prefix, "name", "secret", "secret_env", "address", "may_call")
     variable = typed_value(row, "secret_env", str, None, prefix)
@@ -381,7 +381,7 @@
     if not isinstance(secret, str):
         raise ConfigError(f"{prefix}secret: expected text")  # the message must not show the secret
     return Peer(
-        required(row, "name", prefix),
+        required_text(row, "name", prefix),
         secret,
         parse_host_port(row["address"], f"{prefix}address") if "address" in row else None,
         typed_value(row, "may_call", bool, True, prefix),
--- a/tansyspur/core/gatekeeper.py
+++ b/tansyspur/core/gatekeeper.py
@@ -112,7 +112,7 @@
         self.metrics = Metrics()
         self.metrics.add_classes(call_class.name for call_class in settings.classes)
         self.started = False  # the switch list was received, and its switches were dialled
-        self.paused = False  # by an operator: callers are sent elsewhere
+        self.paused = False  # by an operator: callers are shed
         self.ending = False
         self.not_paused = asyncio.Event()
         self.not_paused.set()
@@ -604,7 +604,7 @@
         )  # fmt: skip
 
     def _abandon(self, call: Call) -> None:
-        """Tell the controller that the call needs no more orders. A set-up already ordered is reported as not sent."""
+        """Report that the call needs no more orders. A set-up already ordered is reported as not sent."""
         self.consult(interface.CallAbandoned(call.call_id))
         while not call.signals.empty():
             order = call.signals.get_nowait()
--- a/tansyspur/core/lease.py
+++ b/tansyspur/core/lease.py
@@ -1,4 +1,4 @@
-"""Leases of the standing calls on one carrier switch: how long a call is kept without a sign that it still stands.
+"""Leases of the standing calls on one carrier switch: how long a call is kept without a sign of its switch.
 
 A switch reports the end of a call with a release. A switch that has vanished sends none, and neither does another
 process that has taken its address since. So each standing call holds a lease, which is renewed by bytes received from
@@ -40,9 +40,8 @@
     confirmed_at: float  # last time that a byte was received on any of its connections
     opened_at: float  # when the latest of its connections on which bytes were received was opened
     may_lose_releases: bool = False  # a connection has ended silently: the switch may take it for open
-    successor_at: float | None = (
-        None  # when bytes first came on another process's connection after confirmed_at
-    )
+    # when bytes were first received on another process's connection after confirmed_at
+    successor_at: float | None = None
     successor: "SwitchProcess | None" = None  # that process, which may be this one
 
 
@@ -117,7 +116,7 @@
     # Queries
 
     def next_expiry(self) -> float | None:
-        """When the first lease runs out if nothing more is received; None if no call stands."""
+        """When the first lease runs out if nothing more is received; None if no call is standing."""
         return min((self._expires_at(call) for call in self._calls.values()), default=None)
 
     def expired(self, now: float, discovery_steady_since: float | None) -> list[str]:
--- a/tansyspur/interface.py
+++ b/tansyspur/interface.py
@@ -48,7 +48,7 @@
 
 
 class SwitchListKind(Enum):
-    """What the entries of a SwitchList stand for."""
+    """Which switches the entries of a SwitchList are, and how current."""
 
     CHANGES = "changes"  # only the switches that changed
     COMPLETE = "complete"  # all switches; one that is missing is gone
@@ -90,7 +90,7 @@
     overload_factor: float = 1.0  # rule 4: full rate of a switch, as a multiple of the rate of answered calls
     fall_ns: int = 1_000_000_000  # rule 4: window over which the rate to a cold switch is judged
     max_attempts: int = 1  # attempts for one call
-    max_retry_after_ns: int = 0  # longest time after which callers are told to retry; 0: they are told none
+    max_retry_after_ns: int = 0  # longest retry-after time sent to callers; 0: none is sent
     may_probe: bool = False  # Probe is available
     may_message: bool = False  # SendMessage is available
     may_cancel: bool = False  # CancelAttempt is available
@@ -130,7 +130,9 @@
     utilization: float | None = None  # share of the processor that is in use, 0 to 1
     latency_ms: float | None = None  # time that a set-up waits for the processor
     capacity_per_s: float | None = None  # new set-ups a second that it can take from all senders
-    hold_back_share: float | None = None  # share of new set-ups that it asks each sender to hold back, 0 to 1
+    hold_back_share: float | None = (
+        None  # share of new set-ups that each sender is requested to hold back, 0 to 1
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -148,8 +150,8 @@
     expires_ns: int  # when the caller gives up this try
     destination: int  # exchange number
     circuits: float = 1  # circuits that the call takes
-    called_number: str = ""  # the number called
-    via: int | None = None  # exchange number: in transit of the sender, else of a tandem advised by a centre
+    called_number: str = ""
+    via: int | None = None  # exchange number: in transit of the sender, else of an advised tandem
     in_transit: bool = False  # sent by another gatekeeper: this one is the tandem
     redial: bool = False  # the caller marked it as another try of a call that was refused or failed
     was_cut: bool = False  # another try of a call that had been answered and was then cut
@@ -215,7 +217,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AvoidedSwitchesQuery:
-    """Asks which switches get no calls at the moment. The only action in response is AvoidedSwitches."""
+    """Requests the switches that get no calls at the moment. The only action in response is AvoidedSwitches."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -251,7 +253,7 @@
     """Final answer: there is no room, and the caller may try again."""
 
     call_id: int
-    retry_after_ns: int = 0  # 0: the caller is told no time
+    retry_after_ns: int = 0  # 0: no time is sent to the caller
 
 
 @dataclass(slots=True, frozen=True)
@@ -269,7 +271,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for TimerDue with this token at a time."""
+    """Request TimerDue with this token at the time at_ns."""
 
     token: int
     at_ns: int
@@ -277,7 +279,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask a switch for its load. It is answered with GroupReport."""
+    """Request the load of a switch. It is answered with GroupReport."""
 
     switch_id: int
 
--- a/tansyspur/net/channel.py
+++ b/tansyspur/net/channel.py
@@ -13,7 +13,8 @@
 from tansyspur.net.link import Link
 from tansyspur.net.peers import parse_address
 
-# A cursor arrives each second. Events sent during a longer silence must be known 4 s after its end.
+# A cursor arrives each second, so a longer silence shows a lost connection. Events sent during the silence must be
+# known at most 4 s after it ends.
 SILENCE_TIMEOUT_S = 2.5
 MAX_EVENT_BYTES = 256 * 1024  # a complete list is one event, and may be longer than other messages
 DIAL_TIMEOUT_S = 1.0
@@ -64,7 +65,7 @@
         self.cursor = 0
         self.requested_after = -1  # the cursor at which a missing event was last requested
         self.task: asyncio.Task[None] | None = None
-        self.caught_up = asyncio.Event()  # the channel has sent a cursor that we have reached
+        self.caught_up = asyncio.Event()  # set once the events up to a cursor of the channel are applied
         self.lost_at: float | None = None  # since when there is no connection, in loop time
         self.failed_dials = 0  # since lost_at
         self.last_line_at = -math.inf  # loop time
@@ -75,7 +76,7 @@
             self.task = self.spawn(self.run(self.address), "command channel")
 
     def change_address(self, address: str | None) -> None:
-        """Connect to another address, and request the events after our cursor there."""
+        """Connect to another address, and request the events after the current cursor there."""
         if address == self.address:
             return
         self.address = address
@@ -144,7 +145,7 @@
     def _check_gap(self, cursor: int) -> None:
         """Raise ConnectionError if events up to cursor are missing, so that a reconnect requests them.
 
-        Each gap is requested once only: a channel that does not have the event must not be asked again and again.
+        Each gap is requested once only: a channel that does not have the event must not get the same request forever.
         """
         if cursor > self.cursor and self.requested_after != self.cursor:
             self.requested_after = self.cursor
@@ -212,4 +213,10 @@
         self.metrics.channel_losses += 1
         if self.lost_at is None:
             self.lost_at = link.loop.time()
-        self.log("notice", "channel", f"connection ended: {how_ended}", link=link.number, cursor=self.cursor)
+        self.log(
+            "notice",
+            "channel",
+            f"connection ended: {how_ended}; reconnecting",
+            link=link.number,
+            cursor=self.cursor,
+        )
--- a/tansyspur/net/handover.py
+++ b/tansyspur/net/handover.py
@@ -112,7 +112,8 @@
 class Handover:
     """The side of the process that serves. It hands its sockets to one successor at a time.
 
-    on_message gets the messages of the successor; on_successor_changed is called when one connects or ends.
+    on_message gets the messages of the successor; on_successor_changed is called when one
+    connects or ends.
     """
 
     def __init__(
@@ -151,7 +152,7 @@
             )
             temporary_path.replace(self.path)
         except OSError as error:
-            # $TMPDIR may be read-only or its path too long: serve anyway; a replacement then leaves a gap.
+            # $TMPDIR may be read-only or its path too long: serve anyway; a replacement then interrupts the service.
             self.log("warning", "handover", f"cannot listen for a successor at {self.path.name}: {error}")
             listening.close()
 
--- a/tansyspur/net/jsonlines.py
+++ b/tansyspur/net/jsonlines.py
@@ -21,14 +21,18 @@
 
 INVALID_REFERENCE = 81  # Q.850: a release of no call
 FIRST_MESSAGE_TIMEOUT_S = 2.5  # a connection without a valid message by then is closed
-PARTIAL_MESSAGE_TIMEOUT_S = 2.0  # so is one whose message is not complete this long after its start
+PARTIAL_MESSAGE_TIMEOUT_S = (
+    2.0  # a message must be complete this long after its start, else the connection is closed
+)
 PENDING_DELIVERY_DELAY_S = 0.05  # a connection of the platform's front has sent its ping by then
 NEW_CONNECTION_GRACE_S = 0.3  # a connection as new as this may still bring its first set-up
 MAX_ENDED_IDS = 4096  # remembered ids of ended calls, as releases of both sides may cross
 MAX_ACCEPTED_AT_ONCE, BACKLOG = 16, 512
-# The front pings every 0.1 s, and brings new connections until 0.2 s after a negative pong.
-FRONT_REROUTE_S = 0.5
-KEEP_ONE_OPEN_S = 3.7  # releases are due within a second, but no connection may be in use after 4 s
+# The platform's front pings every 0.1 s, and brings new connections until 0.2 s after a negative pong.
+PLATFORM_FRONT_REROUTE_S = 0.5
+# After a PAUSE one connection of a caller stays open for this long, as releases are due within a second. All are closed
+# soon after, because none may be in use after 4 s.
+KEEP_ONE_OPEN_S = 3.7
 CLOSE_ALL_AFTER_S = 3.87
 IDLE_CHECK_INTERVAL_S = 0.02  # between searches for connections to close, while callers are diverted
 PENDING_LIFETIME_S = 120.0  # for a pending release; a caller that reconnects late still holds its call
@@ -226,7 +230,9 @@
         self.resumed_at = math.inf if paused else loop.time()
         if paused:
             self.keep_until = loop.time() + KEEP_ONE_OPEN_S
-            self.idle_check_timer = loop.call_later(FRONT_REROUTE_S, self.close_idle_connections, True)
+            self.idle_check_timer = loop.call_later(
+                PLATFORM_FRONT_REROUTE_S, self.close_idle_connections, True
+            )
             self.close_all_timer = loop.call_later(CLOSE_ALL_AFTER_S, self.close_connections)
 
     def close_connections(self) -> None:
@@ -266,7 +272,7 @@
         if has_lost_links and self.kept_link and loop.time() < self.keep_until:
             kept_links.add(self.kept_link)
         for link in list(self.links):
-            # A new connection may still bring its first set-up, or a ping of the front.
+            # A new connection may still bring its first set-up, or a ping of the platform's front.
             is_new = loop.time() - link.opened_at < NEW_CONNECTION_GRACE_S
             if link not in busy_links and not is_new and link not in kept_links:
                 # In the next turn of the loop, when the bytes that have been read are processed.
@@ -325,7 +331,7 @@
         target: Link | None = link
         if link is None or link.closed or link.unsent:
             # Only connections that have brought calls count: a client that only holds a connection, such as the
-            # front, does not pass releases on.
+            # platform's front, does not pass releases on.
             usable = (
                 candidate for candidate in self.caller_links if not candidate.closed and not candidate.unsent
             )
@@ -448,7 +454,7 @@
     def _close_least_useful_link(self) -> bool:
         """Close the least useful connection without open set-ups; returns False if there is none.
 
-        A connection that has brought no call goes first, then the one that was silent for longest.
+        A connection that has brought no call is closed first, then the one that was silent for longest.
         """
         now = next(iter(self.links)).loop.time()
         busy_links = {leg.link for leg in self.legs.values() if not leg.standing}
--- a/tansyspur/net/link.py
+++ b/tansyspur/net/link.py
@@ -15,10 +15,8 @@
 SEND_BUFFER_BYTES = 8 * 1024  # of the kernel; limits what waits there for a stalled peer
 MAX_UNSENT_BYTES = 256 * 1024
 STALL_TIMEOUT_S = 0.5  # bytes unsent for this long show that the other side does not read
-LINGER_S, LINGER_BYTES = (
-    0.2,
-    512 * 1024,
-)  # how long and how much is read and discarded after the final message
+# how long and how much is read and discarded after the final message
+LINGER_S, LINGER_BYTES = 0.2, 512 * 1024
 
 
 class Link:
--- a/tansyspur/net/releases.py
+++ b/tansyspur/net/releases.py
@@ -13,9 +13,8 @@
 
     def __init__(self) -> None:
         self._pending: dict[str, bytes] = {}  # waiting for the next connection
-        self._written: dict[
-            Hashable, dict[str, bytes]
-        ] = {}  # written since bytes were last received on the connection
+        # written since bytes were last received on the connection, by connection
+        self._written: dict[Hashable, dict[str, bytes]] = {}
 
     def keep(self, call_id: str, message: bytes) -> None:
         """Keep a release for the next connection; beyond MAX_PENDING it is dropped."""
--- a/tansyspur/net/sip.py
+++ b/tansyspur/net/sip.py
@@ -243,7 +243,7 @@
             leg.notify(LegEnded(interface.Outcome.NOT_SENT, reason=EndReason.HELD_BACK))
 
     def process_restarted(self, at_ns: int) -> None:
-        # Without this these calls would stand for ever: the process that held them can no longer send a release.
+        # Without this these calls would stay standing for ever: the process that held them can send no more releases.
         for leg in [leg for leg in self.legs.values() if leg.link and leg.sent_ns < at_ns]:
             self.forget(leg)
             leg.notify(LegEnded(interface.Outcome.CUT, reason=EndReason.SWITCH_RESTARTED))
@@ -288,8 +288,8 @@
     def _check_links(self) -> None:
         """Ping silent connections, and close those that do not respond.
 
-        A connection may stay open and deliver nothing more. Without this the calls that end there would stand for
-        ever, and the state of the trunk group would never change again.
+        A connection may stay open and deliver nothing more. Without this the calls that end there would stay
+        standing for ever, and the state of the trunk group would never change again.
         """
         now = self.loop.time()
         any_link_lost = any(leg.setup_link_lost for leg in self.legs.values())
@@ -351,7 +351,7 @@
     def _cut_expired_calls(self) -> None:
         """End the calls whose lease has expired.
 
-        Without this, calls on a switch that vanished while no discovery reported it would stand for ever.
+        Without this, calls on a switch that vanished while no discovery reported it would stay standing for ever.
         """
         expired_ids = self.leases.expired(self.loop.time(), self.discovery_steady_since())
         legs = [leg for call_id in expired_ids if (leg := self.legs.get(call_id))]
@@ -521,7 +521,7 @@
                     cut=len(cut_legs),
                 )  # fmt: skip
             for leg in cut_legs:
-                # The answer may be among the lost bytes. Without the BYE the call would stand without a caller.
+                # The answer may be among the lost bytes. Without the BYE the call would stay standing without a caller.
                 if not self.retired:
                     self.send_bye(leg.call_id, NORMAL_CLEARING, None)
                 leg.notify(LegEnded(interface.Outcome.CUT, reason=EndReason.CONNECTION_LOST))
@@ -625,7 +625,7 @@
         if leg is None or leg.link is not link:
             # No BYE while a newer attempt is open here: the switch knows both by the same Call-ID and would end it.
             if status < 300 and leg is None:
-                # The answer crossed the CANCEL. Without a BYE the call would stand with no caller.
+                # The answer crossed the CANCEL. Without a BYE the call would stay standing without a caller.
                 self.send_bye(message.call_id, NORMAL_CLEARING, link)
             return
         if leg.standing:
--- a/tansyspur/planner/capture.py
+++ b/tansyspur/planner/capture.py
@@ -91,12 +91,12 @@
         key = (record.number, record.class_name)
         previous = open_tries.get(key)
         failed = record.stood_ms < 0
-        within = (
+        within_deadline = (
             call_class
             and previous
             and record.offered_ms - previous[0] <= call_class.deadline_s * 1000 + CLOCK_TOLERANCE_MS
         )
-        if previous and within and previous[1]:
+        if previous and within_deadline and previous[1]:
             redials += 1
             open_tries[key] = (previous[0], failed)
             continue
--- a/tansyspur/planner/network.py
+++ b/tansyspur/planner/network.py
@@ -30,8 +30,8 @@
 # Constants marked * are calibrated against runs of the rig (docs/design/capacity-planner.md); the others follow from
 # the constants of the decision module.
 DELAY_NOISE = 0.35  # * standard deviation of the logarithm of a smoothed set-up delay
-# The own delay is an expectile of the delays at OWN_WEIGHT / (1 + OWN_WEIGHT); for a normal distribution that lies so
-# many standard deviations below the mean.
+# The own delay is an expectile of the delays at OWN_DELAY_WEIGHT / (1 + OWN_DELAY_WEIGHT); for a normal distribution
+# that lies so many standard deviations below the mean.
 OWN_DELAY_EXPECTILE = 0.88
 QUICK_WAIT_SHARE = 0.4  # * the same expectile of the sum of four queueing waits, as a share of their mean
 OWN_DELAY_NOISE = 0.2  # * standard deviation of the logarithm of the quickest recent answer
@@ -320,7 +320,8 @@
     def _quickest_answer(self, base_delay_s: Array, rates: Array, remote_wait_s: float) -> Array:
         """The quickest recent answer, by which the module judges its own processor, without that processor's wait.
 
-        policy.Controller lets this value fall at once and rise with weight OWN_WEIGHT: an expectile of the delays.
+        policy.Controller lets this value fall at once and rise with weight OWN_DELAY_WEIGHT: an expectile of the
+        delays.
         """
         share = rates / np.maximum(rates.sum(1), 1e-12)[:, None]
         mean = (share * base_delay_s).sum(1)
--- a/tansyspur/policy.py
+++ b/tansyspur/policy.py
@@ -8,7 +8,8 @@
 groups, more often as the groups fill. A switch, and the own processor, gets set-ups only while its congestion
 window is open and the set-up delay to expect is below a limit that depends on the worth of the call.
 
-What goes beyond this keeps the five rules, or covers deployments that this routing alone does not serve well:
+All decisions keep these five rules. Code that goes beyond this routing is there to keep them, or for
+deployments that this routing alone does not serve well.
 
 1. A call gets one final answer, by the end of its try, and no attempt after that.
 2. A call has at most one attempt under way.
@@ -50,7 +51,9 @@
 
 # Admission by expected set-up delay, and the delay estimators
 MIN_LIMIT_SHARE = 0.6  # share of the delay limit for calls worth nothing; the class worth most gets all of it
-LATE_LIMIT_SHARE = 0.1  # of that share, for a call answered past its objective: only while nothing is queued
+LATE_LIMIT_SHARE = (
+    0.1  # of that share, for a call past its objective: it is sent only while nothing is queued
+)
 IDLE_DELAY_FACTOR = 1.5  # up to this many base delays nothing is queued: a far switch never answers quickly
 BASE_DELAY_WEIGHT = 0.02  # EWMA weight of a longer delay in the base delay
 TANDEM_LIMIT_SHARE = 0.5  # share of the limit up to which a tandem is used: it loads two more processors
@@ -239,12 +242,12 @@
         delay_ns, limit_ns = self._expected_delay_ns(destination), self._call_limit_ns(call)
         reserve = self._reserved_circuits(destination) if transit else 0
         # A full window queues the call: a burst of queued calls would refill a processor queue just emptied.
-        within = (
+        windows_open = (
             len(neighbour.processor.queued_sent_ns()) < neighbour.processor.window and self._own_window_open()
         )
-        if within and self.now_ns >= call.next_attempt_ns:  # rule 5: not before the release delay
-            fits = neighbour.free is None or neighbour.free >= call.offer.circuits + reserve
-            if direct and fits and delay_ns < limit_ns * (TANDEM_LIMIT_SHARE if transit else 1):
+        if windows_open and self.now_ns >= call.next_attempt_ns:  # rule 5: not before the release delay
+            has_room = neighbour.free is None or neighbour.free >= call.offer.circuits + reserve
+            if direct and has_room and delay_ns < limit_ns * (TANDEM_LIMIT_SHARE if transit else 1):
                 return self._start_attempt(call, direct)
             # A call without a direct group depends on tandems: it may take another after a turn-back.
             may_use_tandem = (
@@ -330,7 +333,7 @@
         """Whether the congestion window of the own processor lets another set-up out.
 
         Set-ups that have passed this processor and wait at a far end don't count: switches that are silent,
-        cut off, hung, resetting or losing answers must not stop the calls to all others (report L197d18). If
+        cut off, hung, that reset connections or lose answers must not stop the calls to all others (report L197d18). If
         all are silent, one more set-up may leave each delay limit, as nothing would be answered if nothing
         were sent. This may do harm at an own processor that is stopped (two more set-ups a second) and at one
         that takes set-ups out of order (too many).
@@ -345,11 +348,13 @@
         """
         destination = call.offer.destination
         routes = []
-        needs, limit_ns = call.offer.circuits, self._call_limit_ns(call) * TANDEM_LIMIT_SHARE
+        circuits, limit_ns = call.offer.circuits, self._call_limit_ns(call) * TANDEM_LIMIT_SHARE
         for number in self.neighbours if self.is_mesh else call.call_class.pools:
             switch = None if number == destination else self._available_switch(number)
-            fits = switch and (self.neighbours[number].free or 0) >= needs + self._reserved_circuits(number)
-            if fits and self._expected_delay_ns(number) <= limit_ns:
+            has_room = switch and (self.neighbours[number].free or 0) >= circuits + self._reserved_circuits(
+                number
+            )
+            if has_room and self._expected_delay_ns(number) <= limit_ns:
                 routes.append((switch, 1 - self._route_fill(number, destination)))
         if sum(free_share for _, free_share in routes) <= 0:
             return None
@@ -370,8 +375,8 @@
     def _second_leg_fill(self, tandem: int, destination: int) -> float:
         """Estimated fill of a tandem's group, 0 to 1.
 
-        As last observed, in a report or by an answered or turned-back call, for the longest interval between
-        reports. After that it decays to the mean of the second legs observed.
+        It is the fill as last observed, in a report or by an answered or turned-back call, for as long as the
+        longest interval between reports. After that it decays to the mean of the second legs observed.
         """
         fill, at_ns = self.neighbours[tandem].second_legs.get(destination, (self.mean_fill, self.now_ns))
         weight = 0.5 ** (max(0, self.now_ns - at_ns - MAX_REPORT_INTERVAL_NS) / MAX_REPORT_INTERVAL_NS)
@@ -391,8 +396,8 @@
         """
         neighbour = self.neighbours.get(number)
         switch = neighbour.in_service() if neighbour else None
-        cold_full = switch and self._is_cold(switch) and self.now_ns < neighbour.next_cold_ns
-        return None if cold_full else switch
+        cold_limited = switch and self._is_cold(switch) and self.now_ns < neighbour.next_cold_ns
+        return None if cold_limited else switch
 
     def _is_cold(self, switch: interface.CarrierSwitch) -> bool:
         return switch.started_ns is not None and self.now_ns < switch.started_ns + self.settings.ramp_ns
@@ -429,7 +434,8 @@
 
         Where most slow answers never come, the time-out leaves time for another attempt within the objective.
         Where they come late, another attempt would double the work of a slow switch. A jam looks the same to
-        set-ups that are given up early, so other set-ups must still be answered (incident iaa6b83).
+        set-ups that are given up early, so this time-out is used only while other set-ups are answered (incident
+        iaa6b83).
         """
         spare_ns = (
             call.offered_ns + call.call_class.objective_ns - self.now_ns - self.settings.release_delay_ns
@@ -443,7 +449,7 @@
         """Give the one final answer (rule 1).
 
         A call that may have run elsewhere fails, unless a repeat does no harm: its caller must not be invited
-        to retry. Other callers are told when to retry, where they heed it.
+        to retry. Other callers are sent a time for their retry, where they heed it.
         """
         call_id = call.offer.call_id
         self._remove_call(call_id)
@@ -526,8 +532,10 @@
 
     def _on_attempt_ended(self, event: interface.AttemptEnded) -> None:
         self._update_group(event.switch_id, event.report)
-        full = event.cause in (Cause.PROCESSOR_FULL, Cause.FAR_PROCESSOR_FULL)
-        sample_ns = 2 * self.limit_ns if full or event.outcome is Outcome.NO_ROUTE else event.elapsed_ns
+        processor_full = event.cause in (Cause.PROCESSOR_FULL, Cause.FAR_PROCESSOR_FULL)
+        sample_ns = (
+            2 * self.limit_ns if processor_full or event.outcome is Outcome.NO_ROUTE else event.elapsed_ns
+        )
         never_sent = event.outcome is Outcome.NOT_SENT
         no_delay = never_sent or event.outcome is Outcome.CUT  # a cut measures the connection, not a queue
         timed_out = event.outcome is Outcome.TIMED_OUT
@@ -644,10 +652,10 @@
             for peer in self.neighbours.values()
             if peer.last_transit_ns > self.now_ns - READER_TIMEOUT_NS
         ]
-        count = len(readers)
+        reader_count = len(readers)
         # The first report goes to all peers, and so does one with a reader whose ordinal is not known yet.
         if not self.first_report_sent or None in readers:
-            readers, count, self.first_report_sent = [None], self.settings.gatekeepers, True
+            readers, reader_count, self.first_report_sent = [None], self.settings.gatekeepers, True
         for reader in readers:
             self.actions.append(interface.SendMessage(reader, data))
         fullest = max((row for row in rows if row <= FILL_STEPS), default=0) / FILL_STEPS
@@ -656,7 +664,7 @@
             interval_ns,
             min(
                 READER_TIMEOUT_NS,
-                1e9 * count / max(self._answered_rate() * REPORTS_PER_ANSWERED_CALL, 1e-9),
+                1e9 * reader_count / max(self._answered_rate() * REPORTS_PER_ANSWERED_CALL, 1e-9),
             ),
         )
         self.actions.append(interface.SetTimer(REPORT_TIMER, self.now_ns + int(interval_ns)))
@@ -676,15 +684,20 @@
 
         A message that is not a fill report is ignored.
         """
-        data, head = event.data, struct.calcsize(">BII")
-        if not head < len(data) <= head + MAX_FILLS or not 0 <= event.sender < self.settings.gatekeepers:
+        data, head_bytes = event.data, struct.calcsize(">BII")
+        if (
+            not head_bytes < len(data) <= head_bytes + MAX_FILLS
+            or not 0 <= event.sender < self.settings.gatekeepers
+        ):
             return
         version, sender, first = struct.unpack_from(">BII", data)
         if version != REPORT_FORMAT or sender not in self.neighbours:
             return
         neighbour = self.neighbours[sender]
         neighbour.ordinal = event.sender
-        rows = {number: row for number, row in enumerate(data[head:], first) if number in self.neighbours}
+        rows = {
+            number: row for number, row in enumerate(data[head_bytes:], first) if number in self.neighbours
+        }
         self._observe_second_legs(
             sender, {number: row / FILL_STEPS for number, row in rows.items() if row <= FILL_STEPS}
         )
--- a/tansyspur/rig/fleet_model.py
+++ b/tansyspur/rig/fleet_model.py
@@ -24,9 +24,8 @@
         self.share = switch.other_share
         self.on_s, self.off_s = switch.other_on_s, switch.other_off_s
         self.rng = rng
-        self.transitions_s: list[float] = [
-            0.0
-        ]  # times at which the work starts (even index) or stops (odd index)
+        # times at which the work starts (even index) or stops (odd index)
+        self.transitions_s: list[float] = [0.0]
         if self.share and rng.random() >= self.on_s / (self.on_s + self.off_s):
             self.transitions_s.append(0.0)  # begins with an idle period
 
--- a/tansyspur/rig/fleetrun.py
+++ b/tansyspur/rig/fleetrun.py
@@ -155,7 +155,8 @@
     """Starts the processes and sockets of a run, plays the load, and stops them again, also when interrupted.
 
     scale multiplies the load. seconds shortens the load's span. folder receives the logs and call records (None: a
-    temporary folder). on_progress is called with a line of text each second. Setting `stop` interrupts the run.
+    temporary folder). on_progress is called with a line of text each second. Setting `stop_requested` interrupts the
+    run.
     """
 
     def __init__(
--- a/tansyspur/rig/results.py
+++ b/tansyspur/rig/results.py
@@ -57,9 +57,8 @@
     scale: float
     seconds: float
     interrupted: bool
-    late_s: (
-        float  # greatest delay of a timer of the rig; above about 50 ms the run is not a valid measurement
-    )
+    # greatest delay of a timer of the rig; above about 50 ms the run is not a valid measurement
+    late_s: float
     violations: list[str]
     calls: list[CallResult]
     groups: list[GroupResult]
--- a/tansyspur/syslog.py
+++ b/tansyspur/syslog.py
@@ -14,7 +14,7 @@
 LINES_PER_S = 50.0
 BURST_LINES = 200.0
 RESERVED_LINES = 100.0  # part of the burst that only notices and more severe lines may use
-MAX_TEXT_CHARS = 1800  # of one value or message; RFC 5424 asks receivers to take 2048 octets
+MAX_TEXT_CHARS = 1800  # of one value or message; by RFC 5424 receivers should accept 2048 octets
 
 
 def escape(value: object) -> str:
--- a/tansyspur/translate.py
+++ b/tansyspur/translate.py
@@ -1,4 +1,4 @@
-"""Parses settings and load reports, under the key names of the operators, into types of tansyspur/interface.py.
+"""Parses settings and load reports, under the operators' key names, into types of tansyspur/interface.py.
 
 The simulator's adapter and the gatekeeper program share this parser, so that both read the same input alike.
 """
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,6 +1,6 @@
 """Operation of a running gatekeeper: hand-over to the next process, pause, reload, metrics, console and shutdown.
 
-Guards against lost calls, lost releases and connections that nobody serves while staff or the platform do these.
+Prevents lost calls, lost releases and connections that nobody serves while staff or the platform do these.
 """
 
 import asyncio
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,6 +1,6 @@
 """Tests of the rig: the simulation model on its own, and complete runs with real gatekeeper processes.
 
-The runs guard against lost or doubly used circuits, broken interface rules, unreadable results, and gatekeeper
+The runs detect lost or doubly used circuits, broken interface rules, unreadable results, and gatekeeper
 processes that outlive an interrupted run.
 """
 
--- a/tests/test_standing_trial.py
+++ b/tests/test_standing_trial.py
@@ -1,6 +1,6 @@
 """Randomized trials of standing calls while switches and discovery fail.
 
-They guard against releases that never reach the caller, or arrive too late, because the switch, its connection or the
+They detect releases that never reach the caller, or arrive too late, because the switch, its connection or the
 command channel fails while the call ends. More seeds can be run by hand:
 `python -m tests.test_standing_trial FIRST LAST SECONDS`; trials shorter than 10 s end with SIGTERM.
 """
