--- a/tansyspur/__main__.py
+++ b/tansyspur/__main__.py
@@ -145,7 +145,7 @@
         return Iax2Front(
             self.gatekeeper,
             self.registrar,
-            iax2.numbers,
+            iax2.number_routes,
             self.bridge,
             self.rng,
             self.log,
@@ -310,7 +310,9 @@
             )
         restart_only = {key: getattr(self.config, key) for key in configuration.RESTART_ONLY_KEYS}
         at_next_start = [key for key, value in restart_only.items() if getattr(new_config, key) != value]
-        if configuration.without_numbers(new_config.iax2) != configuration.without_numbers(self.config.iax2):
+        if configuration.without_number_routes(new_config.iax2) != configuration.without_number_routes(
+            self.config.iax2
+        ):
             at_next_start.append("iax2")
         self.log(
             "notice",
@@ -327,7 +329,7 @@
         for switch in self.sip_switches:
             switch.dial_timeout_s = new_config.dial_timeout_s
         if self.iax2_front and new_config.iax2:
-            self.iax2_front.set_number_routes(new_config.iax2.numbers)
+            self.iax2_front.set_number_routes(new_config.iax2.number_routes)
         self.channel.change_address(new_config.channel)
         if self.records:
             self.records.reopen()
--- a/tansyspur/cdr/record.py
+++ b/tansyspur/cdr/record.py
@@ -1,7 +1,7 @@
 """Formats call detail records as RFC 5424 lines and parses them; no I/O.
 
 Each process numbers its records without gaps. Count lines, written at intervals, state how many records were numbered
-and how many of those were dropped, so that a reader can tell how many records it lacks.
+and how many of those were dropped, so that a reader can determine how many records it lacks.
 """
 
 import re
--- a/tansyspur/config.py
+++ b/tansyspur/config.py
@@ -67,11 +67,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Iax2Config:
-    """The IAX2 front: numbers, peers, switches by name, and registrations."""
+    """The IAX2 front: routes of called numbers, peers, switches by name, and registrations."""
 
     listen: tuple[str, int]
     username: str
-    numbers: tuple[NumberRoute, ...]
+    number_routes: tuple[NumberRoute, ...]
     peers: dict[str, Peer]
     switches: dict[str, Iax2SwitchConfig]
     registrations: dict[str, int]  # refresh interval in seconds, by name of the peer
@@ -145,9 +145,9 @@
     return default if not value else value / 1e9
 
 
-def without_numbers(iax2: Iax2Config | None) -> Iax2Config | None:
-    """Return the part of the IAX2 configuration that is fixed at the start: a reload may change the numbers only."""
-    return iax2 and replace(iax2, numbers=())
+def without_number_routes(iax2: Iax2Config | None) -> Iax2Config | None:
+    """Return the part of the IAX2 configuration that is fixed at the start: a reload may change only the routes."""
+    return iax2 and replace(iax2, number_routes=())
 
 
 def check_complete(table: Mapping[str, Any], running_table: Mapping[str, Any], prefix: str = "") -> None:
@@ -348,7 +348,9 @@
     return Iax2Config(
         listen=parse_host_port(table.get("listen"), "iax2.listen"),
         username=typed_value(table, "username", str, name, "iax2."),
-        numbers=tuple(number_route(row, prefix, settings) for prefix, row in table_rows(table, "number")),
+        number_routes=tuple(
+            number_route(row, prefix, settings) for prefix, row in table_rows(table, "number")
+        ),
         peers=peers,
         switches=switches,
         registrations=registrations,
--- a/tansyspur/core/gatekeeper.py
+++ b/tansyspur/core/gatekeeper.py
@@ -16,7 +16,7 @@
 from tansyspur import interface
 from tansyspur.core import guard, ports
 from tansyspur.core.clock import Clock
-from tansyspur.core.metrics import Metrics, Verdict
+from tansyspur.core.metrics import Metrics, SetUpResult
 from tansyspur.core.ports import (
     Answered,
     CallerLeft,
@@ -189,7 +189,7 @@
         if part:
             self.log("warning", "guard", f"set-up failed on arrival: unusable {part}", call=offer.wire_id)
             caller.fail(ports.INVALID_ELEMENT)
-            self.metrics.count_verdict(Verdict.FAILURE, offer.class_name)
+            self.metrics.count_setup_result(SetUpResult.FAILURE, offer.class_name)
             self._record_rejected(offer, "failed")
             return None
         if len(self.calls) >= MAX_OPEN_CALLS:
@@ -219,7 +219,7 @@
 
     def _refuse_on_arrival(self, offer: Offer, caller: CallerLeg) -> None:
         caller.refuse(ports.CONGESTION, self.settings.max_retry_after_ns // 1_000_000)
-        self.metrics.count_verdict(Verdict.BUSY, offer.class_name)
+        self.metrics.count_setup_result(SetUpResult.BUSY, offer.class_name)
         self._record_rejected(offer, "refused")
 
     def list_changed(self, kind: interface.SwitchListKind, entries: Iterable[SwitchListing]) -> None:
@@ -415,7 +415,7 @@
             if call.standing:
                 self.metrics.call_ends[EndReason.INTERNAL] += 1
             else:
-                self.metrics.count_verdict(Verdict.FAILURE, call.offer.class_name)
+                self.metrics.count_setup_result(SetUpResult.FAILURE, call.offer.class_name)
             self._record_completed(call, "cut" if call.standing else "failed")
             raise
         finally:
@@ -446,7 +446,7 @@
                 )
                 self.consult(answered)
                 if call.caller.answer(result.description):
-                    self.metrics.count_verdict(Verdict.SUCCESS, call.offer.class_name)
+                    self.metrics.count_setup_result(SetUpResult.SUCCESS, call.offer.class_name)
                     call.answered_ns = self.clock.now_ns()
                     self._log_call(call, "stands", elapsed_ns)
                     return leg
@@ -620,17 +620,17 @@
                 processor_full = call.last_cause in PROCESSOR_CAUSES
                 cause = ports.CONGESTION if processor_full else ports.NO_CIRCUIT
                 call.caller.refuse(cause, retry_after_ns // 1_000_000)
-                self.metrics.count_verdict(Verdict.BUSY, call.offer.class_name)
+                self.metrics.count_setup_result(SetUpResult.BUSY, call.offer.class_name)
                 self._log_call(call, "refused")
                 self._record_completed(call, "refused")
             case interface.Fail():
                 call.caller.fail(ports.TEMPORARY_FAILURE)
-                self.metrics.count_verdict(Verdict.FAILURE, call.offer.class_name)
+                self.metrics.count_setup_result(SetUpResult.FAILURE, call.offer.class_name)
                 self._log_call(call, "failed")
                 self._record_completed(call, "failed")
             case CallerLeft(failed=failed):
                 if failed:
-                    self.metrics.count_verdict(Verdict.FAILURE, call.offer.class_name)
+                    self.metrics.count_setup_result(SetUpResult.FAILURE, call.offer.class_name)
                 verdict = "failed" if failed else "given up"
                 self._log_call(call, verdict, elapsed_ns)
                 self._record_completed(call, verdict)
--- a/tansyspur/core/metrics.py
+++ b/tansyspur/core/metrics.py
@@ -10,8 +10,8 @@
 from tansyspur.core.ports import EndReason
 
 
-class Verdict(Enum):
-    """How a call was answered to its caller. The values are part of the metric names."""
+class SetUpResult(Enum):
+    """The final answer to a caller's set-up. The values are part of the metric names."""
 
     SUCCESS = "success"  # answered by the called side
     BUSY = "busy"  # refused
@@ -30,7 +30,7 @@
 
 class Metrics:
     def __init__(self) -> None:
-        self.verdicts: dict[Verdict, dict[str, int]] = {verdict: {} for verdict in Verdict}
+        self.setup_results: dict[SetUpResult, dict[str, int]] = {result: {} for result in SetUpResult}
         self.attempts = 0  # set-ups completely written to a carrier switch
         self.reloads = 0  # configurations accepted at SIGHUP
         self.rejected_reloads = 0  # configurations rejected at SIGHUP
@@ -42,12 +42,12 @@
     def add_classes(self, classes: Iterable[str]) -> None:
         """Count calls of these classes from now on. A class that the settings no longer name keeps its count."""
         for name in classes:
-            for counts in self.verdicts.values():
+            for counts in self.setup_results.values():
                 counts.setdefault(name, 0)
 
-    def count_verdict(self, verdict: Verdict, class_name: str) -> None:
+    def count_setup_result(self, result: SetUpResult, class_name: str) -> None:
         """Count a call. Unknown classes are ignored, so that a faulty caller cannot create metrics without end."""
-        counts = self.verdicts[verdict]
+        counts = self.setup_results[result]
         if class_name in counts:
             counts[class_name] += 1
 
--- a/tansyspur/iax2/front.py
+++ b/tansyspur/iax2/front.py
@@ -62,7 +62,7 @@
         self,
         gatekeeper: Gatekeeper,
         registrar: Registrar,
-        numbers: tuple[NumberRoute, ...],
+        routes: tuple[NumberRoute, ...],
         bridge: Bridge,
         rng: random.Random,
         log: Log,
@@ -76,13 +76,13 @@
             rng,
             log,
         )
-        self.set_number_routes(numbers)
+        self.set_number_routes(routes)
         self.max_calls, self.allow_guests = max_calls, allow_guests
         self.calls: set[Caller] = set()
 
-    def set_number_routes(self, numbers: tuple[NumberRoute, ...]) -> None:
+    def set_number_routes(self, routes: tuple[NumberRoute, ...]) -> None:
         """Replace the routes of called numbers. Of several that match, the one with the longest prefix is used."""
-        self.routes = sorted(numbers, key=lambda route: -len(route.prefix))
+        self.routes = sorted(routes, key=lambda route: -len(route.prefix))
 
     def on_new(self, leg: Leg, frame: FullFrame, elements: dict[int, bytes]) -> LegUser | None:
         """Handle a NEW, REGREQ or REGREL. Returns the user of the leg; None if it was rejected."""
--- a/tansyspur/interface.py
+++ b/tansyspur/interface.py
@@ -130,9 +130,8 @@
     utilization: float | None = None  # share of the processor that is in use, 0 to 1
     latency_ms: float | None = None  # time that a set-up waits for the processor
     capacity_per_s: float | None = None  # new set-ups a second that it can take from all senders
-    hold_back_share: float | None = (
-        None  # share of new set-ups that each sender is requested to hold back, 0 to 1
-    )
+    # share of new set-ups that each sender is requested to hold back, 0 to 1
+    hold_back_share: float | None = None
 
 
 @dataclass(slots=True, frozen=True)
--- a/tansyspur/net/channel.py
+++ b/tansyspur/net/channel.py
@@ -109,7 +109,7 @@
             try:
                 rows.append(parse_listing(entry))
             except ValueError as error:
-                self.log("warning", "channel", str(error), cursor=cursor)
+                self.log("warning", "channel", f"{error}; entry ignored", cursor=cursor)
         self.on_list(
             interface.SwitchListKind.COMPLETE if nodes.get("snapshot") else interface.SwitchListKind.CHANGES,
             rows,
--- a/tansyspur/net/console.py
+++ b/tansyspur/net/console.py
@@ -25,9 +25,9 @@
     """Return the current metrics as statsd lines: counters (c) since the start, and gauges (g)."""
     metrics = gatekeeper.metrics
     counters: dict[str, int] = {}
-    for verdict, counts in metrics.verdicts.items():
+    for result, counts in metrics.setup_results.items():
         for class_name, count in counts.items():
-            counters[f"{verdict.value}.{NAME_DELIMITERS.sub('_', class_name)}"] = count
+            counters[f"{result.value}.{NAME_DELIMITERS.sub('_', class_name)}"] = count
     counters["backend_calls"] = metrics.attempts
     counters["reconfig_ok"], counters["reconfig_failed"] = metrics.reloads, metrics.rejected_reloads
     for reason in EndReason:
--- a/tansyspur/net/jsonlines.py
+++ b/tansyspur/net/jsonlines.py
@@ -14,16 +14,14 @@
 from typing import Any
 
 from tansyspur.core.gatekeeper import Call, Gatekeeper
-from tansyspur.core.metrics import Delivery, Verdict
+from tansyspur.core.metrics import Delivery, SetUpResult
 from tansyspur.core.ports import INVALID_ELEMENT, NORMAL_CLEARING, TEMPORARY_FAILURE, Offer
 from tansyspur.net.framing import Chunks, FramingError
 from tansyspur.net.link import Link
 
 INVALID_REFERENCE = 81  # Q.850: a release of no call
 FIRST_MESSAGE_TIMEOUT_S = 2.5  # a connection without a valid message by then is closed
-PARTIAL_MESSAGE_TIMEOUT_S = (
-    2.0  # a message must be complete this long after its start, else the connection is closed
-)
+PARTIAL_MESSAGE_TIMEOUT_S = 2.0  # a message that is not complete by then closes its connection
 PENDING_DELIVERY_DELAY_S = 0.05  # a connection of the platform's front has sent its ping by then
 NEW_CONNECTION_GRACE_S = 0.3  # a connection as new as this may still bring its first set-up
 MAX_ENDED_IDS = 4096  # remembered ids of ended calls, as releases of both sides may cross
@@ -529,7 +527,7 @@
             self._remember_ended(wire_id)
             fields = row.get("fields")
             class_name = fields.get("class") if isinstance(fields, dict) else None
-            self.gatekeeper.metrics.count_verdict(Verdict.FAILURE, str(class_name))
+            self.gatekeeper.metrics.count_setup_result(SetUpResult.FAILURE, str(class_name))
             return link.write(format_line("release", wire_id, cause=INVALID_ELEMENT))
         self.caller_links.add(link)
         self._deliver_pending(link)
--- a/tansyspur/planner/network.py
+++ b/tansyspur/planner/network.py
@@ -157,11 +157,11 @@
         self.classes = load.classes
         self.widths = [call_class.width for call_class in self.classes]
         self.by_worth = sorted(range(len(self.classes)), key=lambda c: -self.classes[c].worth)
-        top_worth = max(call_class.worth for call_class in self.classes)
+        max_worth = max(call_class.worth for call_class in self.classes)
         limit = policy.DELAY_LIMIT_SHARE * min(call_class.objective_s for call_class in self.classes)
         # As policy.Controller computes it: the set-up delay up to which a switch is sent calls of the class
         self.delay_limits_s = [
-            limit * (policy.MIN_LIMIT_SHARE + (1 - policy.MIN_LIMIT_SHARE) * call_class.worth / top_worth)
+            limit * (policy.MIN_LIMIT_SHARE + (1 - policy.MIN_LIMIT_SHARE) * call_class.worth / max_worth)
             for call_class in self.classes
         ]
         self.half_life_s = policy.DELAY_HALF_LIFE_LIMITS * limit  # of a delay that no newer one confirms
--- a/tansyspur/policy.py
+++ b/tansyspur/policy.py
@@ -51,9 +51,8 @@
 
 # Admission by expected set-up delay, and the delay estimators
 MIN_LIMIT_SHARE = 0.6  # share of the delay limit for calls worth nothing; the class worth most gets all of it
-LATE_LIMIT_SHARE = (
-    0.1  # of that share, for a call past its objective: it is sent only while nothing is queued
-)
+# of that share, for a call answered past its objective: it is sent only while nothing is queued
+LATE_LIMIT_SHARE = 0.1
 IDLE_DELAY_FACTOR = 1.5  # up to this many base delays nothing is queued: a far switch never answers quickly
 BASE_DELAY_WEIGHT = 0.02  # EWMA weight of a longer delay in the base delay
 TANDEM_LIMIT_SHARE = 0.5  # share of the limit up to which a tandem is used: it loads two more processors
--- a/tansyspur/records/evaluate.py
+++ b/tansyspur/records/evaluate.py
@@ -421,9 +421,9 @@
         right = b.alternatives if isinstance(b, Disjunction) else [(False, b)]
         has_default = [any(default for default, _ in side) for side in (left, right)]
         alternatives = []
-        for left_default, x in left:
-            for right_default, y in right:
-                unified = self._try_unify(x, y, path)
+        for left_default, left_value in left:
+            for right_default, right_value in right:
+                unified = self._try_unify(left_value, right_value, path)
                 if unified is not None:
                     alternatives.append(
                         (
@@ -493,10 +493,10 @@
                 return f"a list of {len(closed_list.items)} items, expected {len(other.items)}"
         items = []
         for i in range(max(len(a.items), len(b.items))):
-            x = a.items[i] if i < len(a.items) else a.rest
-            y = b.items[i] if i < len(b.items) else b.rest
-            assert x is not None and y is not None
-            items.append(self.unify(x, y, f"{path}[{i}]"))
+            a_item = a.items[i] if i < len(a.items) else a.rest
+            b_item = b.items[i] if i < len(b.items) else b.rest
+            assert a_item is not None and b_item is not None
+            items.append(self.unify(a_item, b_item, f"{path}[{i}]"))
         rest = self.unify(a.rest, b.rest, f"{path}[]") if a.rest and b.rest else None
         return ListValue(max((a.position, b.position), key=_user_file_last), items, rest)
 
--- a/tansyspur/rig/fleet_model.py
+++ b/tansyspur/rig/fleet_model.py
@@ -153,7 +153,7 @@
         self.groups = {
             frozenset(group.ends): TrunkGroup(group.ends, group.circuits) for group in fleet.groups
         }
-        self.numbers = {name: i for i, name in enumerate(fleet.names)}
+        self.exchange_numbers = {name: i for i, name in enumerate(fleet.names)}
 
     def group(self, a: str, b: str) -> TrunkGroup | None:
         return self.groups.get(frozenset((a, b)))
--- a/tansyspur/rig/fleetrun.py
+++ b/tansyspur/rig/fleetrun.py
@@ -266,7 +266,7 @@
                 endpoints.append(
                     {
                         "name": f"s-{other}", "address": f"{HOST}:{port}", "zone": self.model.switches[other].depot,
-                        "type": "std", "group": self.model.numbers[other], "status": "up", "weight": 1,
+                        "type": "std", "group": self.model.exchange_numbers[other], "status": "up", "weight": 1,
                         "since_ms": 0,
                     }
                 )  # fmt: skip
@@ -472,8 +472,8 @@
         connection = connections[next(self.attempt_keys) % len(connections)]
         offer = Offer(wire_id, gatekeeper, call, connection, transit_of, self.now())
         call_class = self.load.class_by_name(call.class_name)
-        via = self.model.numbers[transit_of.sender] if transit_of else -1
-        extras = f"dest:{self.model.numbers[call.destination]};width:{call_class.width};via:{via}"
+        via = self.model.exchange_numbers[transit_of.sender] if transit_of else -1
+        extras = f"dest:{self.model.exchange_numbers[call.destination]};width:{call_class.width};via:{via}"
         fields = {"class": call.class_name, "left": str(int(remaining_s * 1000)), "key": call.dedup_key}
         if transit_of:
             extras += ";transit:1"
--- a/tansyspur/rig/standins.py
+++ b/tansyspur/rig/standins.py
@@ -175,9 +175,8 @@
 
     async def connect(self) -> None:
         reader, self.writer = await asyncio.open_connection(*self.address)
-        self.send(
-            "ping", "00000000000000ff", cause=0
-        )  # the gatekeeper closes connections on which it receives nothing
+        # The gatekeeper closes connections on which it receives nothing.
+        self.send("ping", "00000000000000ff", cause=0)
         self.task = asyncio.create_task(self._read(reader))
 
     async def ready(self) -> bool:
--- a/tests/iax2_peer.py
+++ b/tests/iax2_peer.py
@@ -152,9 +152,8 @@
         self.vanished = False  # it receives and sends nothing
         self.numbers, self.seen_frames = itertools.count(1), set()
         self.calls, self.calls_by_remote, self.incoming, self.new_calls = {}, {}, asyncio.Queue(), []
-        self.unassigned_frames = (
-            asyncio.Queue()
-        )  # frames that belong to no call: (type, subclass, destination)
+        # frames that belong to no call: (type, subclass, destination)
+        self.unassigned_frames = asyncio.Queue()
         self.registrations = asyncio.Queue()
 
     async def start(self):
--- a/tests/test_iax2.py
+++ b/tests/test_iax2.py
@@ -25,7 +25,7 @@
 ANSWERED = (iax.CONTROL, iax.ANSWER)
 
 
-def operator_file(port, peer=None, circuits=0, extra_lines="", deadline=5000):
+def operator_file(port, peer=None, circuits=0, extra_lines="", deadline_ms=5000):
     text = f"""
 [iax2]
 listen = "127.0.0.1:{port}"
@@ -35,7 +35,7 @@
 prefix = "21"
 exchange = 1
 class = "lookup"
-deadline_ms = {deadline}
+deadline_ms = {deadline_ms}
 [[iax2.number]]
 prefix = "2"
 exchange = 2
@@ -59,14 +59,26 @@
 
 
 class Iax2World(World):
-    """The program with IAX2 enabled; `remote_switch` is the stand-in that replaces switch s-1."""
+    """A gatekeeper process with IAX2 enabled; `remote_switch` is the stand-in that replaces switch s-1."""
 
     def __init__(
-        self, *switches, remote_switch=None, caller=None, circuits=0, extra_lines="", switch="", deadline=5000
+        self,
+        *switches,
+        remote_switch=None,
+        caller=None,
+        circuits=0,
+        extra_lines="",
+        switch="",
+        deadline_ms=5000,
     ):
         super().__init__(*switches)
         self.remote_switch, self.caller_peer = remote_switch, caller or Iax2Peer()
-        self.circuits, self.extra_lines, self.deadline, self.switch = circuits, extra_lines, deadline, switch
+        self.circuits, self.extra_lines, self.deadline_ms, self.switch = (
+            circuits,
+            extra_lines,
+            deadline_ms,
+            switch,
+        )
 
     async def __aenter__(self):
         for peer in (self.remote_switch, self.caller_peer):
@@ -74,7 +86,7 @@
                 await peer.start()
         self.iax2 = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
         self.operator = operator_file(
-            self.iax2[1], self.remote_switch, self.circuits, self.extra_lines, self.deadline
+            self.iax2[1], self.remote_switch, self.circuits, self.extra_lines, self.deadline_ms
         )
         self.operator += self.switch
         return await super().__aenter__()
@@ -119,7 +131,7 @@
 @async_test
 async def test_refusals_and_the_deadline_reach_an_iax2_caller_as_causes(plan, code):
     switch = Switch("s-1", 1, plan=[plan])
-    async with Iax2World(switch, deadline=1500) as world:
+    async with Iax2World(switch, deadline_ms=1500) as world:
         call = world.call()
         _, subclass, elements = await call.next_final()
         assert subclass == iax.HANGUP and elements[iax.CAUSECODE][0] == code
@@ -336,7 +348,7 @@
     iax2_switch = remote_switch if switch_protocol == "iax2" else None
     numbers = itertools.count(210000)
     async with Iax2World(
-        switch, remote_switch=iax2_switch, caller=caller_peer, circuits=CIRCUITS, deadline=9000
+        switch, remote_switch=iax2_switch, caller=caller_peer, circuits=CIRCUITS, deadline_ms=9000
     ) as world:
         caller = await world.caller()
         total_answered = 0
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -475,10 +475,10 @@
     classes = copy.deepcopy(settings()["classes"])
     for call_class in classes:
         call_class["deadline-ns"] = call_class["objective-ns"] = int(deadline_s * NS_PER_S)
-    left = int(deadline_s * 900)
+    remaining_ms = int(deadline_s * 900)
     async with World(switch, hung, classes=classes) as world:
         caller, crowd = await world.caller(), await world.caller()
-        calls = [caller.set_up(1, remaining_ms=left) for _ in range(3)]
+        calls = [caller.set_up(1, remaining_ms=remaining_ms) for _ in range(3)]
         for call in calls:
             await caller.next(call, "answer")
         switch.muted_writers = [*switch.writers]
@@ -488,7 +488,7 @@
         received = asyncio.create_task(caller.reader.read())
         answers = asyncio.create_task(crowd.reader.read())
         while loop.time() < kill_at and not answers.done():
-            sent.append((crowd.set_up(2, remaining_ms=left), loop.time()))
+            sent.append((crowd.set_up(2, remaining_ms=remaining_ms), loop.time()))
             await asyncio.sleep(0.01)
         closed_at = loop.time()
         async with asyncio.timeout_at(kill_at + 0.3):  # margin for a busy machine; no SIGKILL is sent
@@ -534,9 +534,8 @@
                 await asyncio.sleep(0.05)
         for command in ("PAUSE", "RESUME"):
             assert (await world.console(command, old_console)).startswith("-ERR")
-        assert await caller.no_message_within(
-            WAIT_TIMEOUT_S
-        )  # the pause had kept its connection; the shutdown closes it
+        # The pause had kept its connection; the shutdown closes it.
+        assert await caller.no_message_within(WAIT_TIMEOUT_S)
         switch.bye(call)
         assert (await newcomer.next(call))["type"] == "release"
         assert (await world.console("STATUS")).startswith("+OK")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -395,9 +395,8 @@
         crowd = [await world.caller() for _ in range(200)]
         late = await world.caller()
         assert (await late.next(late.set_up(1)))["type"] == "answer"
-        assert all(
-            [await connection.no_message_within(WAIT_TIMEOUT_S) for connection in crowd]
-        )  # each is closed
+        # Each is closed.
+        assert all([await connection.no_message_within(WAIT_TIMEOUT_S) for connection in crowd])
         assert not [line for line in world.log_lines if "accept" in line]
 
 
