--- a/tansyspur/policy.py
+++ b/tansyspur/policy.py
@@ -332,10 +332,10 @@
         """Whether the congestion window of the own processor lets another set-up out.
 
         Set-ups that have passed this processor and wait at a far end don't count: switches that are silent,
-        cut off, hung, that reset connections or lose answers must not stop the calls to all others (report L197d18). If
-        all are silent, one more set-up may leave each delay limit, as nothing would be answered if nothing
-        were sent. This may do harm at an own processor that is stopped (two more set-ups a second) and at one
-        that takes set-ups out of order (too many).
+        cut off or hung, or that reset connections or lose answers, must not stop the calls to all others
+        (report L197d18). If all are silent, one more set-up may leave each delay limit, as nothing would be
+        answered if nothing were sent. This may do harm at an own processor that is stopped (two more set-ups a
+        second) and at one that takes set-ups out of order (too many).
         """
         queued_ns = self.own_processor.queued_sent_ns()
         return len(queued_ns) < self.own_processor.window or self.now_ns - queued_ns[0] >= self.limit_ns
@@ -433,8 +433,8 @@
 
         Where most slow answers never come, the time-out leaves time for another attempt within the objective.
         Where they come late, another attempt would double the work of a slow switch. A jam looks the same to
-        set-ups that are given up early, so this time-out is used only while other set-ups are answered (incident
-        iaa6b83).
+        set-ups that are given up early, so this time-out is used only while other set-ups are
+        answered (incident iaa6b83).
         """
         spare_ns = (
             call.offered_ns + call.call_class.objective_ns - self.now_ns - self.settings.release_delay_ns
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -242,7 +242,7 @@
         await asyncio.sleep(1.0)  # idle connections are closed from half a second on
         switch.bye(call)
         assert (await caller.next(call))["type"] == "release"
-        assert await caller.no_message_within(WAIT_TIMEOUT_S)  # closed, as no call stands any more
+        assert await caller.no_message_within(WAIT_TIMEOUT_S)  # closed, as no call is standing any more
 
 
 def without(*path):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -662,7 +662,7 @@
     (refusal,) = actions_of_type(driver.advance(400 * NS_PER_MS, [2]), interface.Refuse)
     assert refusal.call_id == 1  # and of its old class, which may be refused after an attempt
     assert actions_of_type(driver.offer(2, 2, class_name="survey"), interface.SetUp)
-    # What may have run must not be repeated.
+    # A call that may have run must not be repeated.
     assert actions_of_type(driver.attempt_ended(2, 2, interface.Outcome.CUT), interface.Fail)
     assert all(
         neighbour.processor.half_life_ns == driver.controller.half_life_ns
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -395,7 +395,7 @@
         crowd = [await world.caller() for _ in range(200)]
         late = await world.caller()
         assert (await late.next(late.set_up(1)))["type"] == "answer"
-        # Each is closed.
+        # Each connection of the crowd is closed.
         assert all([await connection.no_message_within(WAIT_TIMEOUT_S) for connection in crowd])
         assert not [line for line in world.log_lines if "accept" in line]
 
@@ -461,7 +461,7 @@
 
 @async_test
 async def test_a_silent_connection_is_closed_and_the_release_comes_on_the_next_one():
-    # A connection may stay open and deliver nothing more. Without the check, its calls would stand for ever.
+    # A connection may stay open and deliver nothing more. Without the check, its calls would stay standing for ever.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
@@ -498,7 +498,7 @@
 
 @async_test
 async def test_a_restart_of_a_switch_ends_its_earlier_calls():
-    # The process that held the calls cannot send a release any more. Without this they would stand for ever.
+    # The process that held the calls cannot send a release any more. Without this they would stay standing for ever.
     switch = Switch("s-1", 1)
     async with World(switch) as world:
         caller = await world.caller()
--- a/tests/test_silent_switch.py
+++ b/tests/test_silent_switch.py
@@ -1,7 +1,7 @@
 """Standing calls on a carrier switch that no longer responds are released to their callers in time; no others are.
 
-A switch that vanishes, hangs or is replaced at its address sends no releases. Without leases its calls would stand for
-ever, above all while discovery is down and reports nothing.
+A switch that vanishes, hangs or is replaced at its address sends no releases. Without leases its calls would stay
+standing for ever, above all while discovery is down and reports nothing.
 
 The program runs as a process; switches and discovery are reached through fault proxies on loopback.
 """
@@ -170,7 +170,7 @@
 @async_test
 async def test_a_late_answer_on_another_connection_does_not_end_a_newer_attempt():
     # After a connection ended in silence two may be open: the late answer to a cancelled attempt arrives on one, and
-    # the call stands by a newer attempt, under the same Call-ID, on the other.
+    # the call was answered by a newer attempt, under the same Call-ID, on the other.
     switch = Switch("s-1", 1, plan=["answer", "silent", "answer"])
     async with World(switch, proxied=True) as world:
         caller = await world.caller()
