--- a/tansyspur/policy.py
+++ b/tansyspur/policy.py
@@ -334,8 +334,8 @@
         Set-ups that have passed this processor and wait at a far end don't count: switches that are silent,
         cut off or hung, or that reset connections or lose answers, must not stop the calls to all others
         (report L197d18). If all are silent, one more set-up may leave each delay limit, as nothing would be
-        answered if nothing were sent. This may do harm at an own processor that is stopped (two more set-ups a
-        second) and at one that takes set-ups out of order (too many).
+        answered if nothing were sent. This may do harm at an own processor that is stopped (two more set-ups
+        a second) and at one that takes set-ups out of order (too many).
         """
         queued_ns = self.own_processor.queued_sent_ns()
         return len(queued_ns) < self.own_processor.window or self.now_ns - queued_ns[0] >= self.limit_ns
