--- a/tansyspur/config.py
+++ b/tansyspur/config.py
@@ -67,11 +67,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Iax2Config:
-    """The IAX2 front: numbers, peers, switches by name, and registrations."""
+    """The IAX2 front: routes of called numbers, peers, switches by name, and registrations."""
 
     listen: tuple[str, int]
     username: str
-    numbers: tuple[NumberRoute, ...]
+    number_routes: tuple[NumberRoute, ...]
     peers: dict[str, Peer]
     switches: dict[str, Iax2SwitchConfig]
     registrations: dict[str, int]  # refresh interval in seconds, by name of the peer
@@ -145,9 +145,9 @@
     return default if not value else value / 1e9
 
 
-def without_numbers(iax2: Iax2Config | None) -> Iax2Config | None:
-    """Return the part of the IAX2 configuration that is fixed at the start: a reload may change the numbers only."""
-    return iax2 and replace(iax2, numbers=())
+def without_number_routes(iax2: Iax2Config | None) -> Iax2Config | None:
+    """Return the part of the IAX2 configuration that is fixed at the start: a reload may change only the routes."""
+    return iax2 and replace(iax2, number_routes=())
 
 
 def check_complete(table: Mapping[str, Any], running_table: Mapping[str, Any], prefix: str = "") -> None:
@@ -160,9 +160,9 @@
             raise ConfigError(f"{prefix}{key}: missing, though the running configuration has it")
         if isinstance(value, dict) and prefix + key != "known":
             check_complete(typed_value(table, key, dict, {}, prefix), value, f"{prefix}{key}.")
-    shared = [set(row) for row in running_table.get("classes", ()) if prefix == "settings."]
-    for index, row in enumerate(table["classes"] if shared else ()):
-        for key in sorted(set.intersection(*shared)):
+    class_key_sets = [set(row) for row in running_table.get("classes", ()) if prefix == "settings."]
+    for index, row in enumerate(table["classes"] if class_key_sets else ()):
+        for key in sorted(set.intersection(*class_key_sets)):
             if key not in row:
                 raise ConfigError(f"settings.classes[{index}].{key}: missing")
 
@@ -320,7 +320,7 @@
     )
     peers = {}
     for prefix, row in table_rows(table, "peer"):
-        peer = peer_row(row, prefix, environment)
+        peer = iax2_peer(row, prefix, environment)
         peers[peer.name] = peer
     switches = {}
     for prefix, row in table_rows(table, "switch"):
@@ -332,8 +332,8 @@
             or not 0 <= qualify_s <= 3600
         ):
             raise ConfigError(f"{prefix}qualify_s: expected seconds from 0 to 3600, not {qualify_s!r}")
-        switches[required(row, "name", prefix)] = Iax2SwitchConfig(
-            known_peer(row, peers, prefix),
+        switches[required_text(row, "name", prefix)] = Iax2SwitchConfig(
+            required_peer_name(row, peers, prefix),
             integer_value(row, "circuits", 0, prefix, 0, 10_000),
             typed_value(row, "context", str, "", prefix),
             float(qualify_s),
@@ -341,14 +341,16 @@
     registrations = {}
     for prefix, row in table_rows(table, "register"):
         check_known_keys(row, prefix, "peer", "refresh_s")
-        peer_name = known_peer(row, peers, prefix)
+        peer_name = required_peer_name(row, peers, prefix)
         if peers[peer_name].address is None:
             raise ConfigError(f"{prefix}peer: {peer_name!r} has no address to register at")
         registrations[peer_name] = integer_value(row, "refresh_s", 60, prefix, 10, 3600)
     return Iax2Config(
         listen=parse_host_port(table.get("listen"), "iax2.listen"),
         username=typed_value(table, "username", str, name, "iax2."),
-        numbers=tuple(number_row(row, prefix, settings) for prefix, row in table_rows(table, "number")),
+        number_routes=tuple(
+            number_route(row, prefix, settings) for prefix, row in table_rows(table, "number")
+        ),
         peers=peers,
         switches=switches,
         registrations=registrations,
@@ -357,21 +359,21 @@
     )
 
 
-def required(row: Mapping[str, Any], key: str, prefix: str) -> str:
+def required_text(row: Mapping[str, Any], key: str, prefix: str) -> str:
     value = typed_value(row, key, str, "", prefix)
     if not value:
         raise ConfigError(f"{prefix}{key}: missing")
     return value
 
 
-def known_peer(row: Mapping[str, Any], peers: Mapping[str, Peer], prefix: str) -> str:
-    name = required(row, "peer", prefix)
+def required_peer_name(row: Mapping[str, Any], peers: Mapping[str, Peer], prefix: str) -> str:
+    name = required_text(row, "peer", prefix)
     if name not in peers:
         raise ConfigError(f"{prefix}peer: no peer is named {name!r}")
     return name
 
 
-def peer_row(row: Mapping[str, Any], prefix: str, environment: Mapping[str, str]) -> Peer:
+def iax2_peer(row: Mapping[str, Any], prefix: str, environment: Mapping[str, str]) -> Peer:
     """Return an IAX2 peer. Its secret may be in an environment variable, to keep it out of the file."""
     check_known_keys(row, prefix, "name", "secret", "secret_env", "address", "may_call")
     variable = typed_value(row, "secret_env", str, None, prefix)
@@ -381,14 +383,14 @@
     if not isinstance(secret, str):
         raise ConfigError(f"{prefix}secret: expected text")  # the message must not show the secret
     return Peer(
-        required(row, "name", prefix),
+        required_text(row, "name", prefix),
         secret,
         parse_host_port(row["address"], f"{prefix}address") if "address" in row else None,
         typed_value(row, "may_call", bool, True, prefix),
     )
 
 
-def number_row(row: Mapping[str, Any], prefix: str, settings: interface.Settings) -> NumberRoute:
+def number_route(row: Mapping[str, Any], prefix: str, settings: interface.Settings) -> NumberRoute:
     check_known_keys(row, prefix, "prefix", "exchange", "class", "deadline_ms")
     classes = {call_class.name: call_class for call_class in settings.classes}
     class_name = typed_value(row, "class", str, settings.classes[0].name, prefix)
--- a/tansyspur/net/jsonlines.py
+++ b/tansyspur/net/jsonlines.py
@@ -14,21 +14,23 @@
 from typing import Any
 
 from tansyspur.core.gatekeeper import Call, Gatekeeper
-from tansyspur.core.metrics import Delivery, Verdict
+from tansyspur.core.metrics import Delivery, SetUpResult
 from tansyspur.core.ports import INVALID_ELEMENT, NORMAL_CLEARING, TEMPORARY_FAILURE, Offer
 from tansyspur.net.framing import Chunks, FramingError
 from tansyspur.net.link import Link
 
 INVALID_REFERENCE = 81  # Q.850: a release of no call
 FIRST_MESSAGE_TIMEOUT_S = 2.5  # a connection without a valid message by then is closed
-PARTIAL_MESSAGE_TIMEOUT_S = 2.0  # so is one whose message is not complete this long after its start
+PARTIAL_MESSAGE_TIMEOUT_S = 2.0  # a message that is not complete by then closes its connection
 PENDING_DELIVERY_DELAY_S = 0.05  # a connection of the platform's front has sent its ping by then
 NEW_CONNECTION_GRACE_S = 0.3  # a connection as new as this may still bring its first set-up
 MAX_ENDED_IDS = 4096  # remembered ids of ended calls, as releases of both sides may cross
 MAX_ACCEPTED_AT_ONCE, BACKLOG = 16, 512
-# The front pings every 0.1 s, and brings new connections until 0.2 s after a negative pong.
-FRONT_REROUTE_S = 0.5
-KEEP_ONE_OPEN_S = 3.7  # releases are due within a second, but no connection may be in use after 4 s
+# The platform's front pings every 0.1 s, and brings new connections until 0.2 s after a negative pong.
+PLATFORM_FRONT_REROUTE_S = 0.5
+# After a PAUSE one connection of a caller stays open for this long, as releases are due within a second. All are closed
+# soon after, because none may be in use after 4 s.
+KEEP_ONE_OPEN_S = 3.7
 CLOSE_ALL_AFTER_S = 3.87
 IDLE_CHECK_INTERVAL_S = 0.02  # between searches for connections to close, while callers are diverted
 PENDING_LIFETIME_S = 120.0  # for a pending release; a caller that reconnects late still holds its call
@@ -155,14 +157,16 @@
 
 
 class JsonLinesFront:
-    """Accepts callers on a listening socket, at most max_links connections, and offers their calls to the gatekeeper.
+    """Accepts up to max_connections callers on a listening socket, and offers their calls to the gatekeeper.
 
     Where two processes share the address during a hand-over, messages for calls of the other process are passed to it.
     """
 
-    def __init__(self, gatekeeper: Gatekeeper, log: Log, max_links: int, listening: socket.socket) -> None:
+    def __init__(
+        self, gatekeeper: Gatekeeper, log: Log, max_connections: int, listening: socket.socket
+    ) -> None:
         gatekeeper.pause_listeners.append(self.on_pause)
-        self.gatekeeper, self.log, self.max_links = gatekeeper, log, max_links
+        self.gatekeeper, self.log, self.max_connections = gatekeeper, log, max_connections
         self.listening = listening
         # Sends a message to the other process, where two share the address.
         self.send_to_other_process: Callable[..., None] | None = None
@@ -205,10 +209,10 @@
             self.server.close()
             self.server = None
 
-    def set_connection_limit(self, max_links: int) -> None:
-        """Allow at most max_links connections, and close the least useful ones in excess."""
-        self.max_links = max_links
-        while len(self.links) > max_links and self._close_least_useful_link():
+    def set_connection_limit(self, max_connections: int) -> None:
+        """Allow at most max_connections connections, and close the least useful ones in excess."""
+        self.max_connections = max_connections
+        while len(self.links) > max_connections and self._close_least_useful_link():
             pass
 
     # Diverting callers
@@ -224,7 +228,9 @@
         self.resumed_at = math.inf if paused else loop.time()
         if paused:
             self.keep_until = loop.time() + KEEP_ONE_OPEN_S
-            self.idle_check_timer = loop.call_later(FRONT_REROUTE_S, self.close_idle_connections, True)
+            self.idle_check_timer = loop.call_later(
+                PLATFORM_FRONT_REROUTE_S, self.close_idle_connections, True
+            )
             self.close_all_timer = loop.call_later(CLOSE_ALL_AFTER_S, self.close_connections)
 
     def close_connections(self) -> None:
@@ -264,7 +270,7 @@
         if has_lost_links and self.kept_link and loop.time() < self.keep_until:
             kept_links.add(self.kept_link)
         for link in list(self.links):
-            # A new connection may still bring its first set-up, or a ping of the front.
+            # A new connection may still bring its first set-up, or a ping of the platform's front.
             is_new = loop.time() - link.opened_at < NEW_CONNECTION_GRACE_S
             if link not in busy_links and not is_new and link not in kept_links:
                 # In the next turn of the loop, when the bytes that have been read are processed.
@@ -323,7 +329,7 @@
         target: Link | None = link
         if link is None or link.closed or link.unsent:
             # Only connections that have brought calls count: a client that only holds a connection, such as the
-            # front, does not pass releases on.
+            # platform's front, does not pass releases on.
             usable = (
                 candidate for candidate in self.caller_links if not candidate.closed and not candidate.unsent
             )
@@ -373,7 +379,7 @@
                 self._note_delivery(Delivery.DELIVERED_LATE, wire_id, link, now - release.created_at)
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.links) >= self.max_links and not self._close_least_useful_link():
+        if len(self.links) >= self.max_connections and not self._close_least_useful_link():
             self.log("warning", "front", "connection limit reached; closing a new connection")
             writer.transport.abort()
             return
@@ -385,7 +391,10 @@
 
         # Clients that send nothing, or never complete a message, would each hold a descriptor.
         first_message_timer = link.loop.call_later(
-            FIRST_MESSAGE_TIMEOUT_S, self._drop_link, link, "no valid message within 2.5 s"
+            FIRST_MESSAGE_TIMEOUT_S,
+            self._drop_link,
+            link,
+            f"no valid message within {FIRST_MESSAGE_TIMEOUT_S:g} s",
         )
 
         def on_data(chunks: Chunks) -> bool:
@@ -400,7 +409,7 @@
             how_ended = await link.read_all(
                 on_data,
                 PARTIAL_MESSAGE_TIMEOUT_S,
-                lambda: self._drop_link(link, "message not complete within 2 s"),
+                lambda: self._drop_link(link, f"message not complete within {PARTIAL_MESSAGE_TIMEOUT_S:g} s"),
             )
             if how_ended != "closed" and not link.closed:
                 self.log("notice", "front", f"connection ended: {how_ended}")
@@ -443,7 +452,7 @@
     def _close_least_useful_link(self) -> bool:
         """Close the least useful connection without open set-ups; returns False if there is none.
 
-        A connection that has brought no call goes first, then the one that was silent for longest.
+        A connection that has brought no call is closed first, then the one that was silent for longest.
         """
         now = next(iter(self.links)).loop.time()
         busy_links = {leg.link for leg in self.legs.values() if not leg.standing}
@@ -512,13 +521,13 @@
             self.log(
                 "warning",
                 "front",
-                f"set-up with an invalid value of {error}; releasing it with cause 100",
+                f"set-up with an invalid value of {error}; releasing it with cause {INVALID_ELEMENT}",
                 call=wire_id,
             )
             self._remember_ended(wire_id)
             fields = row.get("fields")
             class_name = fields.get("class") if isinstance(fields, dict) else None
-            self.gatekeeper.metrics.count_verdict(Verdict.FAILURE, str(class_name))
+            self.gatekeeper.metrics.count_setup_result(SetUpResult.FAILURE, str(class_name))
             return link.write(format_line("release", wire_id, cause=INVALID_ELEMENT))
         self.caller_links.add(link)
         self._deliver_pending(link)
