--- a/tansyspur/core/lease.py
+++ b/tansyspur/core/lease.py
@@ -1,4 +1,4 @@
-"""Leases of the standing calls on one carrier switch: how long a call is kept without a sign of its switch.
+"""Leases of the standing calls on one carrier switch: how long a call is kept without a byte received from its switch.
 
 A switch reports the end of a call with a release. A switch that has vanished sends none, and neither does another
 process that has taken its address since. So each standing call holds a lease, which is renewed by bytes received from
--- a/tansyspur/core/ports.py
+++ b/tansyspur/core/ports.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetUpRequest:
-    """One attempt: the set-up that a carrier switch is requested to send."""
+    """One attempt of a call, as passed to Switch.start_attempt, which sends the set-up to the carrier switch."""
 
     offer: Offer
     attempt: int  # number of the attempt, from 0
