--- a/tansyspur/planner/network.py
+++ b/tansyspur/planner/network.py
@@ -27,18 +27,22 @@
 MAX_ITERATIONS = 120
 ENDLESS_PHASE_S = 1e9
 HELD_MARGIN_S = 0.06  # the module stops holding a blocked call this long before its objective
-# Constants marked * are calibrated against runs of the rig (docs/design/capacity-planner.md); the others follow from
-# the constants of the decision module.
-DELAY_NOISE = 0.35  # * standard deviation of the logarithm of a smoothed set-up delay
+# Parameters of the model of admission and of competition for circuits; their sources are in
+# docs/design/capacity-planner.md.
+DELAY_NOISE = 0.35  # standard deviation of the logarithm of a smoothed set-up delay
 # The own delay is an expectile of the delays at OWN_DELAY_WEIGHT / (1 + OWN_DELAY_WEIGHT); for a normal distribution
 # that lies so many standard deviations below the mean.
 OWN_DELAY_EXPECTILE = 0.88
-QUICK_WAIT_SHARE = 0.4  # * the same expectile of the sum of four queueing waits, as a share of their mean
-OWN_DELAY_NOISE = 0.2  # * standard deviation of the logarithm of the quickest recent answer
-OWN_WAIT_SHARE = 0.8  # * share of the own processor's wait that is contained even in the quickest answers
-OPEN_PERIOD_S = 2.5  # * time scale on which a limited route or processor opens and closes
-RACE_LOSS_SHARE = 0.7  # * share of the circuits freed while both ends wait that the other end takes
-GROUP_MEMORY_HOLDING_TIMES = 0.5  # * time after which a full group no longer remembers it, in holding times
+QUICK_WAIT_SHARE = 0.4  # the same expectile of the sum of four queueing waits, as a share of their mean
+OWN_DELAY_NOISE = 0.2  # standard deviation of the logarithm of the quickest recent answer
+OWN_WAIT_SHARE = 0.8  # share of the own processor's wait that is contained even in the quickest answers
+OPEN_PERIOD_S = 2.5  # time scale on which a limited route or processor opens and closes
+# While calls wait at both ends of a group, both ends try to take each circuit that becomes free: the share of these
+# circuits that one end loses to the other.
+RACE_LOSS_SHARE = 0.7
+# A caller who dials again soon after finding a group full will probably find it full again. This effect fades
+# exponentially: its time constant, in mean holding times.
+GROUP_MEMORY_HOLDING_TIMES = 0.5
 # Gauss-Hermite quadrature with three points: nodes in standard deviations, and weights
 NODES, WEIGHTS = (-(3**0.5), 0.0, 3**0.5), (1 / 6, 2 / 3, 1 / 6)
 
--- a/tansyspur/planner/processors.py
+++ b/tansyspur/planner/processors.py
@@ -14,7 +14,7 @@
 # Gatekeepers hold calls back while a queue is long, so that calls arrive more evenly than a Poisson process and the
 # queue does not grow without bound as utilization approaches 1: its formula is capped at MAX_QUEUE_UTILIZATION. Above
 # SATURATION_UTILIZATION only holding back can restore the balance; it exceeds 1 slightly because phases end before
-# the queue is at its longest. Calibrated against runs of the rig.
+# the queue is at its longest.
 MAX_QUEUE_UTILIZATION, SATURATION_UTILIZATION, SATURATION_SLOPE_S = 0.7, 1.03, 10.0
 # An exponential phase in three equally likely parts: the median of the time since its start in each, in units of the
 # mean length of the phase
